--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -101,7 +101,7 @@
         replace(query, closed=query.closed | names - {first.name})
         for first in ranked[:MAX_FIRST_REPLICAS]
     )
-    paths = (choose_path(offered, attempt) for attempt in queries)
+    paths = (choose_path(offered, variant) for variant in queries)
     return next(filter(None, paths), ())
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -69,7 +69,7 @@
     :param ended: whether the answer was sent completely.
     :param left: whether the client has closed its connection.
     :param sends: how often the request was sent to an upstream.
-    :param ran: how many upstreams may have run it.
+    :param ran: runs that count against the attempts its route allows.
     :param status: HTTP status of the answer; 0 before it started.
     :param pause: longest time between two pieces of the answer, in seconds.
     :param detail: more fields for the log line of the request's end.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -27,8 +27,8 @@
 class Parts:
     """Services that the relay uses, and state that it keeps itself.
 
-    :param longest_timeouts: longest time for which clients of a route waited
-        for an answer, in seconds, by name of the route.
+    :param longest_timeouts: longest time for which a client of a route was
+        prepared to wait for an answer, in seconds, by name of the route.
     """
 
     startup: RelayStartup
--- a/tests/node/relay/test_budget.py
+++ b/tests/node/relay/test_budget.py
@@ -7,7 +7,7 @@
     share_budget,
 )
 
-_TERMS = RetryTerms(ratio=0.2, extra=300, window=10)
+_ALLOWANCE = RetryTerms(ratio=0.2, extra=300, window=10)
 
 
 def _spend_all(budget: RetryBudget) -> int:
@@ -33,27 +33,27 @@
     """
     spent = 0
     for _ in range(60):
-        before = open_budget(_TERMS)
-        share_budget(before, _TERMS, 60)
+        before = open_budget(_ALLOWANCE)
+        share_budget(before, _ALLOWANCE, 60)
         spent += _spend_all(before)
-        after = open_budget(_TERMS)
+        after = open_budget(_ALLOWANCE)
         spent += _spend_all(after)
-        share_budget(after, _TERMS, 60)
+        share_budget(after, _ALLOWANCE, 60)
         spent += _spend_all(after)
-    assert spent <= _TERMS.extra
+    assert spent <= _ALLOWANCE.extra
 
 
 def test_long_outage_stays_within_bounds() -> None:
     """Eight nodes spend their whole budgets for several windows."""
-    budgets = [open_budget(_TERMS) for _ in range(8)]
+    budgets = [open_budget(_ALLOWANCE) for _ in range(8)]
     seconds = 40
     requests = 25
     spent = 0
     for _ in range(seconds):
         for budget in budgets:
-            share_budget(budget, _TERMS, 8)
+            share_budget(budget, _ALLOWANCE, 8)
             budget.refill(1)
             spent += _serve(budget, requests)
-    windows = seconds / _TERMS.window
-    allowed = _TERMS.ratio * requests * seconds * len(budgets)
-    assert spent <= allowed + _TERMS.extra * windows
+    windows = seconds / _ALLOWANCE.window
+    allowed = _ALLOWANCE.ratio * requests * seconds * len(budgets)
+    assert spent <= allowed + _ALLOWANCE.extra * windows
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_evacuation.py
@@ -54,11 +54,11 @@
 
 def test_streams_are_let_be_at_first() -> None:
     """Most streams finish by themselves, and each move costs a command."""
-    evacuation, stream, clock = _plan(delay=0.1)
-    assert not evacuation.find_due(stream, clock.now)
-    assert not evacuation.find_due(stream, clock.now + LEAVING_SECONDS)
+    planner, stream, clock = _plan(delay=0.1)
+    assert not planner.find_due(stream, clock.now)
+    assert not planner.find_due(stream, clock.now + LEAVING_SECONDS)
     late = clock.now + LEAVING_SECONDS + 0.4
-    assert evacuation.find_due(stream, late) == {'m-1'}
+    assert planner.find_due(stream, late) == {'m-1'}
 
 
 def test_late_word_leaves_less_time() -> None:
@@ -68,9 +68,9 @@
     for another second. The replica stopped meanwhile: clients saw a pause, and
     some of their streams broke.
     """
-    evacuation, stream, clock = _plan(delay=1.4)
-    assert not evacuation.find_due(stream, clock.now)
-    assert evacuation.find_due(stream, clock.now + 0.15) == {'m-1'}
+    planner, stream, clock = _plan(delay=1.4)
+    assert not planner.find_due(stream, clock.now)
+    assert planner.find_due(stream, clock.now + 0.15) == {'m-1'}
 
 
 async def test_stream_that_crosses_may_go_on_to() -> None:
