--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -62,8 +62,8 @@
 class StopState:
     """How far the planned shutdown of this node has advanced.
 
-    :param closing: set from when the node is not ready, and its answers ask
-        clients to close their connections.
+    :param closing: set from the start of the shutdown on: the node reports
+        that it is not ready, and its answers close their connections.
     :param refuses_streams: set once a new stream might outlast this process.
     :param last_call: set once any new request might, so that all are refused.
     """
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
@@ -27,7 +27,7 @@
 
     :returns: whether the replica crashed just as the stream began there.
     """
-    if not _was_cut(error) or stream.reason not in {'', HEAD_LOST}:
+    if not _connection_lost(error) or stream.reason not in {'', HEAD_LOST}:
         return False
     ran = stream.ran(parts.now())
     if not await _has_crashed(parts, stream.head) or ran:
@@ -54,13 +54,13 @@
     No part of its answer shows how far the request had come, so it counts as
     begun.
     """
-    if _was_cut(error) and await _has_crashed(parts, replica):
+    if _connection_lost(error) and await _has_crashed(parts, replica):
         parts.quarantine.note_end(
             inquiry.digest, replica.name, Manner.BEGUN, exchange.identity
         )
 
 
-def _was_cut(error: SendError) -> bool:
+def _connection_lost(error: SendError) -> bool:
     return error.kind is SendErrorKind.LOST and error.reason != UNRESPONSIVE
 
 
