--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes requests from clients and brings them to their end."""
+"""Receives requests of clients and relays them until they are complete."""
 
 import asyncio
 import contextlib
@@ -33,13 +33,14 @@
 
 
 class _TooLarge(Exception):
-    """A body is larger than the configuration allows."""
+    """A request body is larger than the configuration allows."""
 
 
 class Ingress:
     """Serves the requests of clients.
 
-    :param stops: how far the stop of this node has come.
+    :ivar stop_state: the state of the planned stop of this node.
+    :ivar open_requests: requests in progress.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         watch: StreamWatch,
         metrics: RelayMetrics,
     ) -> None:
-        self.stops = StopState()
+        self.stop_state = StopState()
         self.open_requests = 0
         self._parts = parts
         self._watch = watch
@@ -56,13 +57,14 @@
         self._first_lists = FirstLists(parts)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one request, and log an exception that it raises."""
         self.open_requests += 1
         try:
             await self._serve(scope, receive, send)
         except Exception:
-            # The server answers 500, or cuts what has begun. Without this
-            # line nobody would learn why: the library's log is off.
+            # The HTTP server responds with 500, or closes the connection if
+            # the response has started. Its own log is off, so the cause
+            # would be lost without this line.
             self._parts.log.record(
                 catalogue.EXCHANGE_CRASHED, trace=traceback.format_exc()
             )
@@ -75,7 +77,7 @@
         arrived = parts.clock.monotonic()
         terms = parts.wire.read_request(scope['headers'])
         exchange = Exchange(
-            terms.identity, send, parts.log, parts.clock, self.stops.closing
+            terms.identity, send, parts.log, parts.clock, self.stop_state.closing
         )
         try:
             body = await self._read_body(receive)
@@ -85,18 +87,19 @@
             await exchange.refuse(_TOO_LARGE, 'the body is too large')
             return
         except TimeoutError:
-            # Nothing was sent on, so the promise of a 408 holds.
+            # Nothing was sent to an upstream, so a client may safely repeat
+            # the request, as a 408 permits.
             exchange.closing = True
-            await exchange.refuse(_REQUEST_TIMEOUT, 'the body stands still')
+            await exchange.refuse(_REQUEST_TIMEOUT, 'the request body timed out')
             return
         await self._first_lists.wait()
         arrival = Arrival(scope, terms, body, arrived)
-        inquiry = admit(parts, self.stops, arrival)
+        inquiry = admit(parts, self.stop_state, arrival)
         if isinstance(inquiry, Refusal):
             await self._refuse(exchange, inquiry)
             return
         await self._relay(exchange, inquiry, receive)
-        self._log_end(exchange, inquiry)
+        self._log_completion(exchange, inquiry)
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
         configuration = self._parts.configuration
@@ -113,19 +116,19 @@
     async def _read_body(self, receive: Receive) -> bytes:
         table = self._parts.configuration.table
         limits = table.configuration.limits if table else ClientLimits()
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             async with asyncio.timeout(limits.idle_seconds):
                 message = await receive()
             if message['type'] != 'http.request':
                 raise ClientGone
-            pieces.append(message['body'])
+            chunks.append(message['body'])
             size += len(message['body'])
             if size > limits.body_bytes:
                 raise _TooLarge
             if not message['more_body']:
-                return b''.join(pieces)
+                return b''.join(chunks)
 
     async def _relay(
         self,
@@ -133,35 +136,41 @@
         inquiry: Inquiry,
         receive: Receive,
     ) -> None:
-        """Relay a request while its client is there."""
-        work = asyncio.create_task(self._finish(exchange, inquiry))
-        gone = asyncio.create_task(_wait_gone(receive))
-        await asyncio.wait((work, gone), return_when=asyncio.FIRST_COMPLETED)
-        if not work.done() and not exchange.ended:
-            # Work that nobody waits for any more keeps places from others.
+        """Relay a request until it is complete or its client disconnects."""
+        relaying = asyncio.create_task(
+            self._relay_until_deadline(exchange, inquiry)
+        )
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
+        await asyncio.wait(
+            (relaying, disconnect), return_when=asyncio.FIRST_COMPLETED
+        )
+        if not relaying.done() and not exchange.ended:
+            # A request without a client would take capacity from others.
             exchange.left = True
-            work.cancel()
-        await cancel_task(gone)
+            relaying.cancel()
+        await cancel_task(disconnect)
         with contextlib.suppress(asyncio.CancelledError, ClientGone):
-            await work
+            await relaying
 
-    async def _finish(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        """Relay a request up to the end of its time."""
+    async def _relay_until_deadline(
+        self, exchange: Exchange, inquiry: Inquiry
+    ) -> None:
+        """Relay a request, and stop it at its deadline."""
         self._parts.budget.earn()
         loop = asyncio.get_running_loop()
-        left = inquiry.ends - self._parts.clock.monotonic()
+        remaining = inquiry.ends - self._parts.clock.monotonic()
         try:
-            async with asyncio.timeout_at(loop.time() + left):
+            async with asyncio.timeout_at(loop.time() + remaining):
                 await self._dispatch(exchange, inquiry)
         except TimeoutError:
             if not exchange.started:
-                await self._tell_timeout(exchange)
+                await self._refuse_late(exchange)
         except AnswerBroken:
-            # Returning without the end of the body cuts the connection, so
-            # that the client sees that the answer isn't whole.
+            # Returning before the body is complete closes the connection, so
+            # the client sees that the answer is incomplete.
             exchange.detail['broken'] = True
 
-    async def _tell_timeout(self, exchange: Exchange) -> None:
+    async def _refuse_late(self, exchange: Exchange) -> None:
         if exchange.sends:
             await exchange.refuse(_GATEWAY_TIMEOUT, 'the time is over')
         else:
@@ -177,7 +186,7 @@
         else:
             await relay_plain(self._parts, exchange, inquiry)
 
-    def _log_end(self, exchange: Exchange, inquiry: Inquiry) -> None:
+    def _log_completion(self, exchange: Exchange, inquiry: Inquiry) -> None:
         seconds = self._parts.clock.monotonic() - inquiry.arrived
         if exchange.left:
             kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
@@ -185,7 +194,7 @@
             kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
             kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
-        self._metrics.note(inquiry.route.streaming, outcome, seconds)
+        self._metrics.record_request(inquiry.route.streaming, outcome, seconds)
         exchange.record(
             kind,
             route=inquiry.route.name,
@@ -199,7 +208,7 @@
         )
 
 
-async def _wait_gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     message = await receive()
     while message['type'] != 'http.disconnect':
         message = await receive()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms in the text form of the field."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 import itertools
 from collections import Counter
@@ -10,15 +10,17 @@
 
 _LOWEST_MS = 1
 _HIGHEST_MS = 60_000
-_DIGITS = 2
-_MS = 1000
+_SIGNIFICANT_DIGITS = 2
+_MS_PER_SECOND = 1000
 _PERCENTILES = (50, 90, 99)
 
 
 class RelayMetrics:
-    """What a node counts.
+    """Collects the metrics of a node.
 
-    :param gauges: functions that read a value now, by name with its unit.
+    :param gauges: functions that read a current value, by metric name without
+        the prefix; a name ends with the unit if there is one.
+    :param costs: the resource usage of the process.
     """
 
     def __init__(
@@ -33,19 +35,23 @@
         self._outcomes: Counter[tuple[str, str]] = Counter()
         self._times: dict[str, HdrHistogram] = {}
 
-    def note(self, streaming: bool, outcome: str, seconds: float) -> None:
-        """Count the end of a request.
+    def record_request(
+        self, streaming: bool, outcome: str, seconds: float
+    ) -> None:
+        """Count a completed request and its duration.
 
-        :param outcome: the status, or how else it ended.
+        :param outcome: the HTTP status, or how the request was cut off.
         """
         kind = 'stream' if streaming else 'plain'
         self._outcomes[kind, outcome] += 1
         if kind not in self._times:
-            self._times[kind] = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _DIGITS)
-        self._times[kind].record_value(max(1, int(seconds * _MS)))
+            self._times[kind] = HdrHistogram(
+                _LOWEST_MS, _HIGHEST_MS, _SIGNIFICANT_DIGITS
+            )
+        self._times[kind].record_value(max(1, int(seconds * _MS_PER_SECOND)))
 
     def expose(self) -> str:
-        """Write all metrics."""
+        """Render all metrics."""
         lines = itertools.chain(
             self._expose_counters(),
             self._expose_times(),
@@ -74,6 +80,9 @@
     def _expose_times(self) -> Iterator[str]:
         for kind, histogram in sorted(self._times.items()):
             for percentile in _PERCENTILES:
-                found = histogram.get_value_at_percentile(percentile) / _MS
+                value = (
+                    histogram.get_value_at_percentile(percentile)
+                    / _MS_PER_SECOND
+                )
                 labels = f'kind="{kind}",quantile="{percentile / 100}"'
-                yield f'ryelatch_request_seconds{{{labels}}} {found:g}'
+                yield f'ryelatch_request_seconds{{{labels}}} {value:g}'
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -1,4 +1,4 @@
-"""Requests to a model that is split over replicas."""
+"""Relays requests to a model whose layers are split over replicas."""
 
 import asyncio
 import enum
@@ -25,26 +25,26 @@
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
     Progress,
-    note_failure,
-    note_outcome,
+    handle_refusal,
     note_progress,
-    note_refusal,
+    record_failure,
+    record_outcome,
 )
 from ryelatch_node.relay._stream import LiveStream
 from ryelatch_node.relay._upstream import Answer
 from ryelatch_node.relay._watch import StreamWatch
 
-MOST_SENDS = 5
-"""Tries of one request, whatever became of them.
+MAX_SENDS = 5
+"""Maximum attempts for one request, whatever their results.
 
-Each costs up to a second, and the client's patience is two without an event;
-more are of use only where replicas refuse at once.
+An attempt takes up to one second, and clients give up after two seconds
+without an event, so more attempts help only where replicas refuse at once.
 """
 
 REPAIR_SECONDS = 2.5
-"""When a refused client may come back where layers are missing.
+"""Retry-After for requests that are refused because layers are missing.
 
-A loss shows after 0.5 s, and eight layers load in 1.4 s.
+The loss of a replica is detected after 0.5 s, and eight layers load in 1.4 s.
 """
 
 _SERVER_ERROR = 500
@@ -53,8 +53,8 @@
 _OK = 200
 
 
-class _Next(enum.Enum):
-    """What follows after a try."""
+class _AttemptResult(enum.Enum):
+    """Whether an attempt completed the request or another one may follow."""
 
     DONE = 'done'
     AGAIN = 'again'
@@ -66,17 +66,19 @@
     exchange: Exchange,
     inquiry: Inquiry,
 ) -> None:
-    """Send a request on a path, and on others until its answer is whole.
+    """Send a request along paths until one returns the complete answer.
 
-    :raises AnswerBroken: if it ends in the middle for good.
+    :raises AnswerBroken: if the answer has started and can't be completed.
     """
     progress = Progress(EventCutter(inquiry.terms.last_event))
     while _may_send(parts, exchange, inquiry, progress):
         path = await _find_path(parts, exchange, inquiry, progress)
         if not path:
             break
-        step = await _try_path(parts, watch, exchange, inquiry, path, progress)
-        if step is _Next.DONE:
+        result = await _attempt_path(
+            parts, watch, exchange, inquiry, path, progress
+        )
+        if result is _AttemptResult.DONE:
             return
     await _give_up(parts, exchange, inquiry, progress)
 
@@ -87,7 +89,12 @@
     inquiry: Inquiry,
     progress: Progress,
 ) -> tuple[Stage, ...]:
-    """Choose a path whose first replica takes one more request."""
+    """Choose a path, and take a permit for its first replica if it is limited.
+
+    Without a permit another path is chosen.
+
+    :returns: the stages of the path; empty if there is no path.
+    """
     while True:
         path = choose_request_path(parts, exchange, inquiry, progress)
         if not path or await take_permit(parts, exchange, path[0].replica):
@@ -102,27 +109,27 @@
 ) -> bool:
     if not exchange.sends:
         return True
-    if exchange.sends >= MOST_SENDS:
+    if exchange.sends >= MAX_SENDS:
         return False
     if exchange.ran >= inquiry.route.max_attempts:
         return False
-    if progress.lost and not inquiry.repeatable:
+    if progress.may_have_run and not inquiry.repeatable:
         return False
-    if progress.ends >= MOST_ENDS:
+    if progress.crashes >= MOST_ENDS:
         return False
     if parts.quarantine.find_refused(inquiry.digest):
         return False
     return parts.budget.spend()
 
 
-async def _try_path(
+async def _attempt_path(
     parts: Parts,
     watch: StreamWatch,
     exchange: Exchange,
     inquiry: Inquiry,
     path: tuple[Stage, ...],
     progress: Progress,
-) -> _Next:
+) -> _AttemptResult:
     tokens = inquiry.terms.prompt + inquiry.terms.answer // 2
     exchange.sends += 1
     _log_send(parts, exchange, inquiry, path, progress)
@@ -139,34 +146,37 @@
             return await _run(parts, watch.prober, stream, progress)
     except TimeoutError:
         interrupted = SendError(SendErrorKind.LOST, stream.reason)
-        await _note_lost(parts, stream, progress, interrupted)
+        await _record_loss(parts, stream, progress, interrupted)
     except SendError as error:
-        await _note_lost(parts, stream, progress, error)
+        await _record_loss(parts, stream, progress, error)
     except StreamError as error:
-        note_failure(parts, stream, progress, SendErrorKind.SPOILED, str(error))
+        record_failure(
+            parts, stream, progress, SendErrorKind.SPOILED, str(error)
+        )
     finally:
         stream.over = True
         watch.streams.discard(stream)
         parts.windows.remove(stream.head.name)
         parts.accounts.remove(inquiry.account)
         parts.load.remove(stream.path, tokens, parts.clock.monotonic())
-    return _Next.AGAIN
+    return _AttemptResult.AGAIN
 
 
-async def _note_lost(
+async def _record_loss(
     parts: Parts,
     stream: LiveStream,
     progress: Progress,
     error: SendError,
 ) -> None:
-    """Note that a try ended without an answer, and whether its replica did.
+    """Record an attempt that was lost, and whether its first replica crashed.
 
-    A run that had just begun as its replica ended counts among the attempts:
-    it may be why, and each attempt takes another replica along.
+    A run that had just begun when the replica crashed counts as an attempt:
+    it may have caused the crash, and then each attempt crashes one more
+    replica.
     """
-    note_failure(parts, stream, progress, error.kind, error.reason)
+    record_failure(parts, stream, progress, error.kind, error.reason)
     if await note_stream_end(parts, stream, error):
-        progress.ends += 1
+        progress.crashes += 1
         stream.exchange.ran += stream.answered
 
 
@@ -195,7 +205,9 @@
         avoided=len(parts.replicas.list_suspects()),
         list_age=round_seconds(parts.replicas.known.age),
         missing=round_seconds(
-            parts.replicas.find_missing(one.replica.name for one in path)
+            parts.replicas.find_missing(
+                path_stage.replica.name for path_stage in path
+            )
         ),
     )
 
@@ -205,7 +217,7 @@
     prober: Prober,
     stream: LiveStream,
     progress: Progress,
-) -> _Next:
+) -> _AttemptResult:
     inquiry = stream.inquiry
     dispatch = Dispatch(
         stream.head.entry,
@@ -225,22 +237,22 @@
     ) as answer:
         stream.answered = True
         if answer.terms.not_run:
-            note_refusal(parts, prober, stream, answer)
-            return _Next.AGAIN
+            handle_refusal(parts, prober, stream, answer)
+            return _AttemptResult.AGAIN
         if not answer.terms.signed:
             raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
         if answer.status != _OK:
-            return await _take_failure(parts, stream, answer, progress)
-        return await _pass_events(parts, stream, answer, progress)
+            return await _handle_failure(parts, stream, answer, progress)
+        return await _forward_events(parts, stream, answer, progress)
 
 
-async def _take_failure(
+async def _handle_failure(
     parts: Parts,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
-) -> _Next:
-    """Keep a replica's own failure, or pass it on where nothing follows."""
+) -> _AttemptResult:
+    """Keep an error response of a replica, or pass it on to the client."""
     body = await answer.read()
     parts.quarantine.note_run(stream.inquiry.digest)
     stream.exchange.ran += 1
@@ -251,30 +263,30 @@
         outcome='failed',
     )
     failed = answer.status >= _SERVER_ERROR
-    note_outcome(parts, stream, failed=failed)
+    record_outcome(parts, stream, failed=failed)
     if failed and stream.inquiry.repeatable:
-        # Failing at once it has room and looks fast; the next try would go
-        # there again.
+        # A replica that fails at once looks fast and has free capacity, so
+        # the next attempt would choose it again.
         progress.left.add(stream.head.name)
-        progress.held = (answer, body)
-        return _Next.AGAIN
+        progress.failure_answer = (answer, body)
+        return _AttemptResult.AGAIN
     if stream.exchange.started:
         raise AnswerBroken
     await stream.exchange.answer(answer.status, answer.headers, body)
-    return _Next.DONE
+    return _AttemptResult.DONE
 
 
-async def _pass_events(
+async def _forward_events(
     parts: Parts,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
-) -> _Next:
+) -> _AttemptResult:
     cutter = progress.cutter
     cutter.restart()
     exchange = stream.exchange
-    async for piece in answer.iterate():
-        events = cutter.cut(piece)
+    async for chunk in answer.iterate():
+        events = cutter.cut(chunk)
         if not events:
             continue
         note_progress(parts, stream)
@@ -288,12 +300,12 @@
     await exchange.write(b'', more=False)
     parts.replicas.trust(stream.head)
     parts.quarantine.note_run(stream.inquiry.digest)
-    note_outcome(parts, stream, failed=False)
-    return _Next.DONE
+    record_outcome(parts, stream, failed=False)
+    return _AttemptResult.DONE
 
 
 def _strip_length(answer: Answer) -> list[tuple[bytes, bytes]]:
-    """Leave out the length: a resumed stream may have another."""
+    """Drop the content length: a resumed stream may have another length."""
     return [pair for pair in answer.headers if pair[0] != b'content-length']
 
 
@@ -305,10 +317,10 @@
 ) -> None:
     if exchange.started:
         raise AnswerBroken
-    if progress.held:
-        answer, body = progress.held
+    if progress.failure_answer:
+        answer, body = progress.failure_answer
         await exchange.answer(answer.status, answer.headers, body)
-    elif progress.lost:
+    elif progress.may_have_run:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost')
     else:
         await _refuse(parts, exchange, inquiry)
@@ -319,9 +331,9 @@
     exchange: Exchange,
     inquiry: Inquiry,
 ) -> None:
-    """Tell a client that its request did not run, and when to come back."""
+    """Refuse a request that did not run, and say when to retry."""
     missing = misses_layers(parts, inquiry)
-    wait = REPAIR_SECONDS if missing else _find_turn(parts, inquiry)
+    wait = REPAIR_SECONDS if missing else _estimate_retry_after(parts, inquiry)
     await exchange.refuse(
         _UNAVAILABLE,
         'layers are missing' if missing else 'all paths are full',
@@ -331,8 +343,8 @@
     )
 
 
-def _find_turn(parts: Parts, inquiry: Inquiry) -> float:
-    """Tell a refused client when a place for it is expected."""
+def _estimate_retry_after(parts: Parts, inquiry: Inquiry) -> float:
+    """Estimate after how many seconds a refused client should retry."""
     now = parts.clock.monotonic()
-    turn = parts.returns.give_turn(now, inquiry.ends - now, parts.draw())
-    return max(turn, find_return(parts, list_heads(parts, inquiry)))
+    delay = parts.returns.give_turn(now, inquiry.ends - now, parts.draw())
+    return max(delay, find_return(parts, list_heads(parts, inquiry)))
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -1,4 +1,4 @@
-"""What the tries of a request have brought, and what they tell of replicas."""
+"""Records the attempts of a request and the state of replicas they reveal."""
 
 from dataclasses import dataclass, field
 
@@ -12,50 +12,57 @@
 from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
 from ryelatch_node.relay._upstream import Answer
 
-_FULL = 503
-_STALL_SHARE = 0.75
-"""Share of the upstreams' patience from which a refusal tells of a loss."""
+_UNAVAILABLE = 503
+_STALL_FRACTION = 0.75
+"""Fraction of the upstreams' stall timeout that shows a lost replica.
+
+A refusal that took longer comes from a path that waited for that replica.
+"""
 
 
 @dataclass
 class Progress:
-    """What the tries of a request have brought so far.
-
-    :param lost: whether one of them may have run without an answer.
-    :param held: a replica's own failure, passed on if nothing better comes.
-    :param left: first replicas whose runs this node cut off.
-    :param ends: first replicas that ended just as it began at them.
+    """What the attempts of one request have brought so far.
+
+    :param cutter: cuts the answer into events, over all attempts.
+    :param left: first replicas whose runs failed or were interrupted by this
+        node.
+    :param may_have_run: whether an attempt may have run without an answer.
+    :param crashes: first replicas that crashed when a run had just begun.
+    :param failure_answer: the last error response of a replica and its body;
+        it is passed on if no other attempt succeeds.
     """
 
     cutter: EventCutter
     left: set[str] = field(default_factory=set)
-    lost: bool = False
-    ends: int = 0
-    held: tuple[Answer, bytes] | None = None
+    may_have_run: bool = False
+    crashes: int = 0
+    failure_answer: tuple[Answer, bytes] | None = None
 
 
-def note_refusal(
+def handle_refusal(
     parts: Parts,
     prober: Prober,
     stream: LiveStream,
     answer: Answer,
 ) -> None:
-    """Keep away from the replica that a refusal names.
+    """Suspect the replica that a refusal names as its cause.
 
-    A refusal that took long comes from a path that waited for a lost
-    replica; one that came at once, from one without room.
+    A refusal that took long comes from a path that waited for a lost replica;
+    an immediate one comes from a path with a full replica.
     """
     waited = parts.clock.monotonic() - stream.progress
-    stalled = waited > parts.startup.stall_seconds * _STALL_SHARE
+    stalled = waited > parts.startup.stall_seconds * _STALL_FRACTION
     fault = _find_fault(parts, stream, answer.terms.fault)
     reason = f'answered {answer.status}'
-    if answer.status == _FULL and fault.name == stream.head.name:
+    if answer.status == _UNAVAILABLE and fault.name == stream.head.name:
         parts.windows.note_full(fault.name, parts.clock.monotonic())
     if answer.terms.entry in {'', stream.head.entry}:
         parts.replicas.suspect(fault, reason, full=not stalled)
         prober.check(fault)
     else:
-        # Another replica has the address now; asking it tells nothing.
+        # Another replica has this address now, so the first replica of the
+        # path has crashed, and a report from there would not be about it.
         parts.replicas.end(stream.head)
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
@@ -67,16 +74,16 @@
 
 
 def _find_fault(parts: Parts, stream: LiveStream, address: str) -> Replica:
-    named = (
+    matches = (
         stage.replica
         for stage in stream.path
         if stage.replica.address == address
     )
-    return next(named, stream.head)
+    return next(matches, stream.head)
 
 
-def note_outcome(parts: Parts, stream: LiveStream, *, failed: bool) -> None:
-    """Note whether a first replica failed a request that it ran."""
+def record_outcome(parts: Parts, stream: LiveStream, *, failed: bool) -> None:
+    """Record whether a first replica failed a request that it ran."""
     parts.failures.note(
         stream.head.name,
         stream.inquiry.route.name,
@@ -86,10 +93,10 @@
 
 
 def note_progress(parts: Parts, stream: LiveStream) -> None:
-    """Note that an event has come."""
+    """Record that one or more events of a stream have arrived."""
     stream.progress = parts.clock.monotonic()
     stream.delivered += 1
-    stream.told = False
+    stream.stall_recorded = False
     if not stream.cleared and stream.ran(stream.progress):
         stream.cleared = True
         parts.quarantine.note_run(stream.inquiry.digest)
@@ -97,16 +104,16 @@
         stream.begun = True
         stream.first_event = stream.progress
         stream.exchange.ran += 1
-        taken = stream.progress - stream.sent
-        parts.load.note_first(stream.path, taken, stream.progress)
-        if taken > stream.inquiry.route.objective * LATE_SHARE:
+        delay = stream.progress - stream.sent
+        parts.load.note_first(stream.path, delay, stream.progress)
+        if delay > stream.inquiry.route.objective * LATE_SHARE:
             parts.paces.check(stream.path)
         if not stream.hindered:
-            # A first event that waited for a lost replica tells nothing of
-            # how full the first one is.
+            # A first event that was delayed by a lost replica doesn't show
+            # how full the first replica is.
             parts.windows.note_first(
                 stream.head.name,
-                taken,
+                delay,
                 stream.inquiry.route.objective,
                 stream.progress,
             )
@@ -115,20 +122,20 @@
         )
 
 
-def note_failure(
+def record_failure(
     parts: Parts,
     stream: LiveStream,
     progress: Progress,
     kind: SendErrorKind,
     reason: str,
 ) -> None:
-    """Note that a try ended without an answer."""
+    """Record that an attempt finished without a complete answer."""
     if kind is not SendErrorKind.UNSENT:
-        progress.lost = True
+        progress.may_have_run = True
     if stream.reason:
         progress.left.add(stream.head.name)
     if kind is SendErrorKind.LOST:
-        stream.exchange.ran += _count_end(stream)
+        stream.exchange.ran += _count_run(stream)
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
         replica=stream.head.name,
@@ -144,12 +151,13 @@
         )
 
 
-def _count_end(stream: LiveStream) -> int:
-    """Tell what the end of a try adds to the runs that the route allows.
+def _count_run(stream: LiveStream) -> int:
+    """Return what a lost attempt adds to the count of the request's runs.
 
-    A run that ended with its first replica doesn't count. One that this node
-    cut off does, and may have begun though nothing of it came: seven streams
-    ran on three first replicas where two were allowed.
+    A run that was lost with its first replica doesn't count, and is taken off
+    again if it had begun. A run that this node interrupted counts even if no
+    event arrived, as it may have begun: without that, seven streams ran on
+    three first replicas where two were allowed.
     """
     if stream.reason in {'', HEAD_LOST}:
         return -1 if stream.begun else 0
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_protocol.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_protocol.py
@@ -1,8 +1,9 @@
-"""Bounds what a client may send, and how long it may take.
+"""Limits on the size and duration of request headers.
 
-The HTTP library takes headers of any size for any time. A client that sends a
-byte now and then would keep a descriptor and memory for good, and some
-thousands of them stop a node; a header without an end fills its memory.
+The HTTP library accepts headers of any size and waits for them without a
+timeout. A client that sends a byte now and then would hold a file descriptor
+and memory indefinitely, and some thousands of such clients stop a node; a
+header that never ends fills its memory.
 """
 
 import asyncio
@@ -22,10 +23,10 @@
 
 
 class BoundedProtocol(HttpToolsProtocol):
-    """A client's connection.
+    """The HTTP protocol of one client connection, with the client limits.
 
-    :param read_limits: reads what the configuration allows now; nothing
-        before there is one.
+    :param read_limits: returns the limits of the configuration in force;
+        ``None`` before the node has a configuration.
     """
 
     def __init__(
@@ -45,19 +46,19 @@
         self,
         transport: asyncio.Transport,  # type: ignore[override]
     ) -> None:
-        """Begin to wait for the first request."""
+        """Start the idle timer for the first request."""
         super().connection_made(transport)
         limits = self._read_limits()
         if limits is not None:
-            self._arm(limits.idle_seconds, self.transport.close)
+            self._start_timer(limits.idle_seconds, self.transport.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wait for nothing more."""
-        self._disarm()
+        """Cancel the timer that is running."""
+        self._cancel_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, unless the header they belong to is too large."""
+        """Parse received bytes, and reject a header that is too large."""
         if self.transport.is_closing():
             return
         self._header_bytes += len(data)
@@ -69,13 +70,17 @@
             self._reject(_TOO_LARGE)
 
     def on_message_begin(self) -> None:
-        """Begin to count the time that a header takes."""
+        """Start the timer for the header of a request."""
         super().on_message_begin()
         self._await_header()
 
     def on_headers_complete(self) -> None:
-        """Check the size of a header that came with what follows it."""
-        self._disarm()
+        """Check the size of a complete header.
+
+        ``data_received`` compares only headers that are still incomplete; the
+        count of a complete one has been reset by then.
+        """
+        self._cancel_timer()
         self._header_bytes = 0
         limits = self._read_limits()
         size = sum(len(name) + len(text) for name, text in self.headers)
@@ -85,29 +90,31 @@
         super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of a body, which is no part of a header."""
+        """Pass on a part of a body, which doesn't count as header bytes."""
         self._header_bytes = 0
         if not self.transport.is_closing():
             super().on_body(body)
 
     def on_message_complete(self) -> None:
-        """Begin anew with the next header."""
+        """Reset the count of header bytes for the next request."""
         self._header_bytes = 0
         if not self.transport.is_closing():
             super().on_message_complete()
 
-    def _arm(self, seconds: float, act: Callable[[], None]) -> None:
-        self._disarm()
-        self._timer = self.loop.call_later(seconds, act)
+    def _start_timer(
+        self, seconds: float, on_expiry: Callable[[], None]
+    ) -> None:
+        self._cancel_timer()
+        self._timer = self.loop.call_later(seconds, on_expiry)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _reject_slow(self) -> None:
-        if self._is_answering():
-            # A header that is sent ahead of an answer may wait for its end.
+        if self._is_responding():
+            # A pipelined request may wait until the response is complete.
             self._await_header()
         else:
             self._reject(_TOO_SLOW)
@@ -115,18 +122,18 @@
     def _await_header(self) -> None:
         limits = self._read_limits()
         if limits is not None:
-            self._arm(limits.header_seconds, self._reject_slow)
+            self._start_timer(limits.header_seconds, self._reject_slow)
 
-    def _is_answering(self) -> bool:
+    def _is_responding(self) -> bool:
         return self.cycle is not None and not self.cycle.response_complete
 
     def _reject(self, status: str) -> None:
-        self._disarm()
+        self._cancel_timer()
         if self.transport.is_closing():
             return
-        if self._is_answering():
-            # An answer of this node in the middle of another one would be
-            # read as part of it; a cut is seen for what it is.
+        if self._is_responding():
+            # A rejection written in the middle of a response would be read as
+            # part of it; an aborted connection is recognized as a failure.
             self.transport.abort()
             return
         self._log.record(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
@@ -1,4 +1,4 @@
-"""Says what a path is wanted for."""
+"""Builds the queries with which paths for a request are chosen."""
 
 from ryelatch_core.fleet import ModelProfile, PathQuery
 from ryelatch_node.relay._exchange import Inquiry
@@ -6,7 +6,10 @@
 
 
 def find_profile(parts: Parts, service: str) -> ModelProfile | None:
-    """Find the model of a service; nothing if it has none."""
+    """Find the profile of a service's model.
+
+    :returns: ``None`` if the service is unknown or has no model.
+    """
     table = parts.configuration.table
     terms = table and table.configuration.services.get(service)
     return terms.model if terms else None
@@ -17,9 +20,10 @@
     inquiry: Inquiry,
     avoid: frozenset[str],
 ) -> PathQuery | None:
-    """Say what a path is wanted for.
+    """Build the query for a path that runs a request.
 
-    :returns: nothing if the service has no model.
+    :param avoid: names of replicas that the path must not use.
+    :returns: ``None`` if the service is unknown or has no model.
     """
     profile = find_profile(parts, inquiry.service)
     if profile is None:
@@ -29,7 +33,7 @@
         profile=profile,
         zone=parts.startup.zone,
         prompt=inquiry.terms.prompt,
-        answer=expect_answer(inquiry, profile.usual_answer),
+        answer=estimate_answer(inquiry, profile.usual_answer),
         draw=parts.draw,
         avoid=avoid,
         own_tokens=parts.load.tokens,
@@ -39,13 +43,13 @@
     )
 
 
-def expect_answer(inquiry: Inquiry, usual: float) -> int:
-    """Estimate the tokens of an answer.
+def estimate_answer(inquiry: Inquiry, typical: float) -> int:
+    """Estimate the number of tokens of an answer.
 
-    The client's guess is right at the median and often far off, so it is
-    taken half and half with the usual length.
+    The client's hint is right at the median but often far off, so the mean of
+    the hint and the typical length is used.
     """
-    most = inquiry.terms.answer or int(usual)
+    limit = inquiry.terms.answer or int(typical)
     hint = inquiry.terms.hint
-    guess = usual if hint is None else (hint + usual) / 2
-    return max(1, min(most, int(guess)))
+    guess = typical if hint is None else (hint + typical) / 2
+    return max(1, min(limit, int(guess)))
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
@@ -1,7 +1,8 @@
-"""Finds out whether a replica has ended whose connections were lost.
+"""Detects whether a replica has crashed after connections to it were lost.
 
-A lost connection is no proof: the way to the replica may be cut, or the
-connection alone. Where the process has ended nothing listens at its address.
+A lost connection is no proof of a crash: the network between the VMs or only
+that connection may have failed. After a crash nothing listens at the address
+of the replica, and new connections are refused.
 """
 
 import asyncio
@@ -13,21 +14,21 @@
 
 @dataclass(eq=False)
 class EndChecks:
-    """Tries to reach replicas whose connections were lost.
+    """Connects to replicas whose connections were lost.
 
-    All requests that were lost with a replica share one try; ninety of them
-    would else connect at once.
+    All requests that were lost with a replica share one check; otherwise
+    ninety of them would connect at the same time.
     """
 
     orders: Orders
     _checks: dict[str, 'asyncio.Future[Reach]'] = field(default_factory=dict)
 
     async def has_ended(self, replica: Replica) -> bool:
-        """Tell whether nothing listens at a replica's address any more."""
+        """Check whether a replica's address refuses connections."""
         check = self._checks.get(replica.name)
         if check is None:
             check = asyncio.ensure_future(self.orders.reach(replica))
             self._checks[replica.name] = check
             check.add_done_callback(lambda _: self._checks.pop(replica.name))
-        # A client that goes away takes the try from none of the others.
+        # A client that disconnects must not cancel the check for the others.
         return await asyncio.shield(check) is Reach.REFUSED
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -1,4 +1,4 @@
-"""The listening side of a node: clients, the balancer, metrics."""
+"""The HTTP server of a node for clients, readiness checks and metrics."""
 
 import asyncio
 import contextlib
@@ -29,36 +29,41 @@
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
-"""How long a stopping node serves new requests as usual.
+"""Time for which a stopping node serves new requests at least.
 
-The balancer asks every second and takes a node out after two misses.
+The load balancer checks readiness every second and removes a node after two
+failed checks.
 """
 
 QUIET_SECONDS = 0.5
-"""How long nothing may be in progress before a stopping node ends."""
+"""Time without requests in progress after which a stopping node exits."""
 
 MARGIN_SECONDS = 0.5
-"""Time kept back from the grace for closing connections."""
+"""Part of the grace period that is reserved for closing connections."""
 
-STREAM_SHARE = 0.35
-"""Share of the grace in which a stopping node still takes streams.
+STREAM_FRACTION = 0.35
+"""Fraction of the grace period in which a stopping node accepts new streams.
 
-One in ten streams lasts over four seconds. A stream that is taken later is
-cut off by the end of the process, and its client, told to come back at once,
-has it from another node.
+One in ten streams lasts over four seconds. A stream that was accepted later
+could be cut off when the process exits, so it is refused, and its client is
+told to retry at once and reaches another node.
 """
 
-ANSWER_SECONDS = 3.5
-"""Time kept for plain answers in progress; they take 1.5 s at most."""
+PLAIN_ANSWER_SECONDS = 3.5
+"""Part of the grace period that is reserved for plain answers in progress.
+
+They take at most 1.5 s.
+"""
 
 _POLL_SECONDS = 0.05
 _UNAVAILABLE = 503
 
 
 class RelayServer:
-    """Listens on three addresses and ends without cutting anything off.
+    """Listens on three addresses, and drains requests before it stops.
 
-    :param listener: where clients wait already, if they do.
+    :param listener: a bound socket for clients, whose connections may wait in
+        its backlog already; ``None`` to bind the address of the settings.
     """
 
     def __init__(
@@ -71,19 +76,19 @@
         self._listener = listener
         self._parts = parts
         self._ingress = ingress
-        self._counted = metrics
+        self._relay_metrics = metrics
         self._server: uvicorn.Server | None = None
         self._config: uvicorn.Config | None = None
         self._nodes = UNCOUNTED_NODES
         self._sockets: list[socket.socket] = []
-        # Where it listens; the system chooses for a port of 0.
+        # Replaced by the bound addresses: the system chooses a port for 0.
         self.front = parts.startup.front
         self.readiness = parts.startup.readiness
         self.metrics = parts.startup.metrics
-        self._inner = Starlette(
+        self._internal_app = Starlette(
             routes=[
-                Route('/readyz', self._tell_ready),
-                Route('/metrics', self._tell_metrics),
+                Route('/readyz', self._serve_readiness),
+                Route('/metrics', self._serve_metrics),
             ]
         )
 
@@ -91,12 +96,12 @@
     def ready(self) -> bool:
         """Whether new clients should be sent here."""
         parts = self._parts
-        if self._ingress.stops.closing or parts.configuration.table is None:
+        if self._ingress.stop_state.closing or parts.configuration.table is None:
             return False
         return parts.replicas.listed and parts.configuration.allows_keys()
 
     async def start(self) -> None:
-        """Listen."""
+        """Bind the addresses and start to serve."""
         config = uvicorn.Config(
             self._serve,
             log_config=None,
@@ -116,7 +121,9 @@
             bind_listener(*startup.readiness),
             bind_listener(*startup.metrics),
         ]
-        bound = [Address(*one.getsockname()) for one in self._sockets]
+        bound = [
+            Address(*listening.getsockname()) for listening in self._sockets
+        ]
         self.front = bound[0]
         self.readiness = bound[1]
         self.metrics = bound[2]
@@ -126,24 +133,24 @@
         await self._server.startup(self._sockets)
 
     def apply_limits(self) -> None:
-        """Keep idle connections for as long as the configuration says."""
+        """Apply the idle timeout of the configuration to connections."""
         limits = self._read_limits()
         if limits is not None and self._config is not None:
-            # Clients may reuse a connection up to the limit; closing a little
-            # late crosses none of their requests.
+            # Clients may reuse a connection until the limit. Rounding up
+            # avoids that a connection is closed while a request arrives.
             self._config.timeout_keep_alive = math.ceil(limits.idle_seconds)
 
     def share_among(self, nodes: int) -> None:
-        """Take this node's slice of what all nodes share.
+        """Set this node's part of the load and of the retry budget.
 
-        :param nodes: nodes that there are.
+        :param nodes: number of nodes.
         """
         self._nodes = nodes
         self._parts.load.share_among(nodes)
         self._apply_budget()
 
     def apply_settings(self, changed: SettingsChanged) -> None:
-        """Take settings that changed while this process runs."""
+        """Apply settings that changed while this process runs."""
         self._parts.startup = changed.startup
         self._parts.configuration.set_bound(changed.startup.revoke_seconds)
         self._parts.replicas.known.terms = reckon_terms(
@@ -152,31 +159,35 @@
         self._apply_budget()
 
     async def drain(self) -> None:
-        """Serve what comes until the clients have left or the grace ends.
+        """Serve requests until no client is left or the grace period is over.
 
-        The balancer goes on sending new connections until it has seen twice
-        that this node isn't ready, and clients of kept connections go on
-        until an answer says that theirs closes.
+        The load balancer sends new connections until two readiness checks
+        have failed, and clients use open connections until a response
+        announces that the connection closes.
         """
-        self._ingress.stops.closing = True
+        self._ingress.stop_state.closing = True
         self._parts.log.record(catalogue.NODE_DRAINING)
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started = loop.time()
         grace = self._parts.startup.grace
-        last_call = max(grace / 2, grace - MARGIN_SECONDS - ANSWER_SECONDS)
-        quiet = 0.0
-        while loop.time() - begun < grace - MARGIN_SECONDS:
+        last_call = max(
+            grace / 2, grace - MARGIN_SECONDS - PLAIN_ANSWER_SECONDS
+        )
+        idle = 0.0
+        while loop.time() - started < grace - MARGIN_SECONDS:
             await asyncio.sleep(_POLL_SECONDS)
-            passed = loop.time() - begun
-            self._ingress.stops.refuses_streams = passed > grace * STREAM_SHARE
-            self._ingress.stops.last_call = passed > last_call
+            elapsed = loop.time() - started
+            self._ingress.stop_state.refuses_streams = (
+                elapsed > grace * STREAM_FRACTION
+            )
+            self._ingress.stop_state.last_call = elapsed > last_call
             busy = self._ingress.open_requests
-            quiet = 0.0 if busy else quiet + _POLL_SECONDS
-            if passed > NOTICE_SECONDS and quiet > QUIET_SECONDS:
+            idle = 0.0 if busy else idle + _POLL_SECONDS
+            if elapsed > NOTICE_SECONDS and idle > QUIET_SECONDS:
                 return
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all connections and listening sockets."""
         if self._server is None:
             return
         with contextlib.suppress(TimeoutError):
@@ -189,7 +200,7 @@
         if scope['server'][1] == self.front.port:
             await self._ingress.serve(scope, receive, send)
         else:
-            await self._inner(scope, receive, send)
+            await self._internal_app(scope, receive, send)
 
     def _make_protocol(
         self, *arguments: Any, **options: Any
@@ -212,10 +223,10 @@
         )
         share_budget(self._parts.budget, terms, self._nodes)
 
-    async def _tell_ready(self, request: Request) -> Response:
+    async def _serve_readiness(self, request: Request) -> Response:
         if self.ready:
             return PlainTextResponse('ready\n')
         return PlainTextResponse('not ready\n', _UNAVAILABLE)
 
-    async def _tell_metrics(self, request: Request) -> Response:
-        return PlainTextResponse(self._counted.expose())
+    async def _serve_metrics(self, request: Request) -> Response:
+        return PlainTextResponse(self._relay_metrics.expose())
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -1,4 +1,4 @@
-"""The relay as services of a node."""
+"""Registers the services of the relay with the application of a node."""
 
 import asyncio
 
@@ -26,59 +26,62 @@
 from ryelatch_node.relay._watch import StreamWatch
 from ryelatch_node.throttle import Throttle
 
-USUAL_NODES = 8
-"""Nodes among which work is taken to be shared until they are counted.
+ASSUMED_NODES = 8
+"""Number of nodes that is assumed to share the load until they are counted.
 
-Each user has 7 or 8 entry VMs. Where there are more, the load of the others
-is taken for too small for two seconds.
+Each deployment has 7 or 8 entry VMs. Where there are more, the load of the
+other nodes is underestimated for two seconds.
 """
 
 HOUSEKEEPING_SECONDS = 0.5
 
 COSTS_SECONDS = 10.0
-"""How often a node writes what it has spent; a line of about 1 kB."""
+"""Interval at which a node logs its resource usage, in a line of about 1 kB."""
 
 
 class Housekeeper:
-    """Does what has to be done now and then."""
+    """Runs the periodic maintenance of a node's state."""
 
     def __init__(self, parts: Parts, server: RelayServer) -> None:
         self._parts = parts
         self._server = server
         self._task: asyncio.Task[None] | None = None
-        self._told = 0.0
+        self._costs_recorded = 0.0
 
     async def start(self) -> None:
-        """Begin."""
+        """Start the periodic maintenance."""
         self._task = asyncio.create_task(
             keep_running('housekeeper', self._run, self._parts.log)
         )
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the maintenance and log the resource usage a last time."""
         await cancel_task(self._task)
-        self._tell_costs()
+        self._record_costs()
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self._parts.replicas.drop_lapsed()
             self._parts.budget.refill(HOUSEKEEPING_SECONDS)
-            self._forget_gone()
+            self._forget_removed()
             self._parts.quarantine.judge()
             self._parts.configuration.allows_keys()
             self._parts.replicas.known.check()
             self._server.apply_limits()
             self._parts.log.report_dropped()
-            if self._parts.clock.monotonic() - self._told > COSTS_SECONDS:
-                self._tell_costs()
+            if (
+                self._parts.clock.monotonic() - self._costs_recorded
+                > COSTS_SECONDS
+            ):
+                self._record_costs()
             self._parts.log.flush()
 
-    def _forget_gone(self) -> None:
-        """Forget what was learned of replicas that are gone."""
+    def _forget_removed(self) -> None:
+        """Drop what was observed of replicas that are no longer listed."""
         parts = self._parts
         names = parts.replicas.replicas
-        for book in (
+        for tracker in (
             parts.load,
             parts.windows,
             parts.paces.book,
@@ -86,10 +89,10 @@
             parts.durations,
             parts.throttle,
         ):
-            book.keep(names)
+            tracker.keep(names)
 
-    def _tell_costs(self) -> None:
-        self._told = self._parts.clock.monotonic()
+    def _record_costs(self) -> None:
+        self._costs_recorded = self._parts.clock.monotonic()
         self._parts.log.record(
             catalogue.NODE_COSTS,
             life=self._parts.costs.life,
@@ -99,8 +102,11 @@
 
 
 def setup(app: App) -> None:
-    """Add the services ``upstreams``, ``streams`` and ``server``."""
-    parts = _collect(app)
+    """Add the services of the relay.
+
+    These are ``upstreams``, ``streams``, ``server`` and ``housekeeper``.
+    """
+    parts = _collect_parts(app)
     watch = StreamWatch(parts, Prober(parts))
     metrics = RelayMetrics(
         parts.log,
@@ -127,7 +133,7 @@
         metrics,
         app.find('listener', Listener).front,
     )
-    keeper = Housekeeper(parts, server)
+    housekeeper = Housekeeper(parts, server)
     app.hub.connect(SettingsChanged, server.apply_settings)
     app.hub.connect(
         NodesCounted, lambda counted: server.share_among(counted.nodes)
@@ -159,19 +165,19 @@
     app.add(
         Service(
             'housekeeper',
-            keeper,
+            housekeeper,
             ('server',),
-            start=keeper.start,
-            stop=keeper.stop,
+            start=housekeeper.start,
+            stop=housekeeper.stop,
         )
     )
 
 
-def _collect(app: App) -> Parts:
+def _collect_parts(app: App) -> Parts:
     startup = app.find('startup', RelayStartup)
     wire = app.find('wire', Wire)
     load = LoadBook()
-    load.share_among(USUAL_NODES)
+    load.share_among(ASSUMED_NODES)
     throttle = app.find('throttle', Throttle)
     replicas = app.find('replicas', ReplicaView)
     return Parts(
@@ -181,7 +187,7 @@
         chance=app.chance,
         configuration=app.find('configuration', ConfigurationView),
         replicas=replicas,
-        upstreams=Upstreams(wire, _make_hook(throttle, replicas)),
+        upstreams=Upstreams(wire, _make_answer_hook(throttle, replicas)),
         wire=wire,
         orders=app.find('orders', Orders),
         budget=open_budget(
@@ -196,8 +202,8 @@
     )
 
 
-def _make_hook(throttle: Throttle, replicas: ReplicaView) -> AnswerHook:
-    """Join what takes the word of replicas in their answers."""
+def _make_answer_hook(throttle: Throttle, replicas: ReplicaView) -> AnswerHook:
+    """Create the hook that applies what replicas state in their answers."""
 
     def on_answer(replica: Replica, terms: AnswerTerms) -> None:
         # Another replica may have the address by now.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
@@ -1,8 +1,9 @@
-"""Finds out which replicas are lost on paths that stand still.
+"""Detects lost replicas on stalled paths by connecting to their addresses.
 
-A replica in the middle of a path says nothing when it is lost; the first one
-waits for it for seconds, and its report tells so half a second later. What
-otherwise is reached within milliseconds, and now is not, is lost.
+The loss of a replica in the middle of a path isn't reported to this node: the
+first replica waits for it for seconds, and its report shows this half a
+second later. A connection normally takes a few milliseconds, so a replica
+that doesn't accept one in that time is lost.
 """
 
 import asyncio
@@ -16,129 +17,146 @@
 from ryelatch_node.relay._parts import Parts
 from ryelatch_node.tasks import Tasks
 
-TRY_SECONDS = 0.03
-"""Longest wait for a connection; in a region it takes 2 ms."""
+CONNECT_SECONDS = 0.03
+"""Timeout of a connection, which takes 2 ms within a region."""
 
-SECOND_SECONDS = 0.012
-"""When a second connection is tried beside a first one without an answer.
+SECOND_CONNECT_SECONDS = 0.012
+"""Delay before a second connection is tried in parallel to the first one.
 
-A single lost packet tells nothing.
+A single lost packet then doesn't make a replica look lost.
 """
 
-LATE_SECONDS = 0.01
-"""Lateness of this process beyond which the tries are made again.
+MAX_LATENESS_SECONDS = 0.01
+"""Lateness of this process beyond which a round of checks is repeated.
 
-Answers that came in time would be read after their timeout.
+A late process reads responses after their timeout although they arrived in
+time.
 """
 
-MOST_ROUNDS = 3
-"""Rounds of tries for one pause, where this process was late in each."""
+MAX_ROUNDS = 3
+"""Maximum rounds for one check, if this process was late in each of them."""
 
-REST_SECONDS = 0.4
-"""How long a replica that was tried is not tried again."""
+COOLDOWN_SECONDS = 0.4
+"""Time after a check in which a replica is not checked again."""
 
-ALARM_GROWTH = 1.4
-"""By how much longer pauses must be after tries that found nothing lost."""
+THRESHOLD_GROWTH = 1.4
+"""Factor on the pause threshold after a check that reached all replicas."""
 
-MOST_ALARM = 4.0
-"""By how much longer at most: crowded paths pause all the time."""
+MAX_THRESHOLD_FACTOR = 4.0
+"""Maximum of the accumulated factor, as crowded paths pause all the time."""
 
-ALARM_SECONDS = 3.0
-"""Time in which that is forgotten to a third."""
+THRESHOLD_DECAY_SECONDS = 3.0
+"""Time in which the excess of the factor over 1 decays to about a third."""
 
 _NEVER = float('-inf')
 
 
 @dataclass(eq=False)
 class PathChecks:
-    """Tries to reach the replicas of paths that stand still."""
+    """Checks whether the replicas of stalled paths accept connections."""
 
     parts: Parts
-    _tried: dict[str, float] = field(default_factory=dict)
-    _reached: float = _NEVER
-    _alarm: float = 1
-    _alarmed: float = 0
+    _last_tried: dict[str, float] = field(default_factory=dict)
+    _last_reached: float = _NEVER
+    _factor: float = 1
+    _factor_set: float = 0
     _tasks: Tasks = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make what runs the tries."""
+        """Create the task group of the checks."""
         self._tasks = Tasks(self.parts.log, 'path checks')
 
     async def stop(self) -> None:
-        """Try no more."""
+        """Cancel the checks in progress."""
         await self._tasks.stop()
 
     @property
-    def patience(self) -> float:
-        """By how much longer than usual a pause must be, from 1 on."""
-        passed = self.parts.clock.monotonic() - self._alarmed
-        return 1 + (self._alarm - 1) * math.exp(-passed / ALARM_SECONDS)
+    def threshold_factor(self) -> float:
+        """Factor on the pause after which a path is checked; at least 1."""
+        elapsed = self.parts.clock.monotonic() - self._factor_set
+        return 1 + (self._factor - 1) * math.exp(
+            -elapsed / THRESHOLD_DECAY_SECONDS
+        )
 
     def check(self, path: Iterable[Stage]) -> None:
-        """Try to reach the replicas of a path that were not tried lately."""
+        """Check the replicas of a path that weren't checked recently."""
         now = self.parts.clock.monotonic()
         due = [
             stage.replica
             for stage in path
-            if now - self._tried.get(stage.replica.name, _NEVER) > REST_SECONDS
+            if now - self._last_tried.get(stage.replica.name, _NEVER)
+            > COOLDOWN_SECONDS
         ]
         if not due:
             return
-        self._tried = {
+        self._last_tried = {
             name: tried
-            for name, tried in self._tried.items()
-            if now - tried <= REST_SECONDS
+            for name, tried in self._last_tried.items()
+            if now - tried <= COOLDOWN_SECONDS
         }
-        self._tried.update((one.name, now) for one in due)
+        self._last_tried.update((replica.name, now) for replica in due)
         self._tasks.spawn(self._check(due))
 
     async def _check(self, replicas: list[Replica]) -> None:
         clock = self.parts.clock
-        for _ in itertools.repeat(None, MOST_ROUNDS):
-            began = clock.monotonic()
+        for _ in itertools.repeat(None, MAX_ROUNDS):
+            started = clock.monotonic()
             found = await asyncio.gather(*map(self._reach, replicas))
-            if clock.monotonic() - began <= TRY_SECONDS + LATE_SECONDS:
-                self._judge(replicas, found, began)
+            if (
+                clock.monotonic() - started
+                <= CONNECT_SECONDS + MAX_LATENESS_SECONDS
+            ):
+                self._evaluate(replicas, found, started)
                 return
 
-    def _judge(
+    def _evaluate(
         self,
         replicas: list[Replica],
         found: list[Reach],
-        began: float,
+        started: float,
     ) -> None:
-        """Keep away from the replicas that are lost."""
+        """Suspect the replicas that are lost.
+
+        :param started: when the round started, in monotonic seconds.
+        """
         now = self.parts.clock.monotonic()
         if Reach.LISTENS in found:
-            self._reached = now
+            self._last_reached = now
         if all(reach is Reach.LISTENS for reach in found):
-            self._alarm = min(MOST_ALARM, self.patience * ALARM_GROWTH)
-            self._alarmed = now
+            self._factor = min(
+                MAX_THRESHOLD_FACTOR, self.threshold_factor * THRESHOLD_GROWTH
+            )
+            self._factor_set = now
         for replica, reach in zip(replicas, found, strict=True):
             if reach is Reach.REFUSED:
                 self.parts.replicas.suspect(replica, 'ended', full=False)
-            elif reach is Reach.UNKNOWN and self._reached >= began:
-                # Where nothing at all is reached, the way from here is cut.
+            elif reach is Reach.UNKNOWN and self._last_reached >= started:
+                # If no replica is reached, this node itself is cut off.
                 self.parts.replicas.suspect(replica, 'silent', full=False)
 
     async def _reach(self, replica: Replica) -> Reach:
-        """Try to reach a replica twice, the second time beside the first."""
-        tries = [
-            asyncio.create_task(self._try(replica, after))
-            for after in (0, SECOND_SECONDS)
+        """Connect to a replica twice in parallel, with a delayed second try.
+
+        :returns: the first conclusive result of the two.
+        """
+        attempts = [
+            asyncio.create_task(self._try_after(replica, after))
+            for after in (0, SECOND_CONNECT_SECONDS)
         ]
         try:
-            for one in asyncio.as_completed(tries, timeout=TRY_SECONDS):
-                reach = await one
+            for attempt in asyncio.as_completed(
+                attempts, timeout=CONNECT_SECONDS
+            ):
+                reach = await attempt
                 if reach is not Reach.UNKNOWN:
                     return reach
         except TimeoutError:
             return Reach.UNKNOWN
         finally:
-            for task in tries:
+            for task in attempts:
                 task.cancel()
         return Reach.UNKNOWN
 
-    async def _try(self, replica: Replica, after: float) -> Reach:
+    async def _try_after(self, replica: Replica, after: float) -> Reach:
         await asyncio.sleep(after)
         return await self.parts.orders.reach(replica)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
@@ -1,4 +1,4 @@
-"""A stream in progress, as this node knows it."""
+"""The state that a node holds about one stream in progress."""
 
 import asyncio
 from collections.abc import Iterable
@@ -9,24 +9,34 @@
 from ryelatch_node.relay._exchange import Exchange, Inquiry
 
 HEAD_LOST = 'first replica lost'
-"""Why a stream was interrupted whose first replica is gone."""
+"""Reason of an interruption because the first replica can't be reached."""
 
 
 @dataclass(eq=False)
 class LiveStream:
-    """A stream in progress.
-
-    :param sent: when it was sent on its first path of this try.
-    :param progress: when its last event came, or it was sent or moved.
-    :param tokens: for which memory is taken on its path.
-    :param told: whether its pause has been recorded.
-    :param hindered: whether it waited for a replica that was lost.
-    :param tries: moves tried while it was flowing; the last at ``tried``.
-    :param answered: whether the head of its answer has come.
-    :param first_event: when its first event came, in monotonic seconds.
-    :param cleared: whether it is known not to end the replicas that run it.
-    :param over: whether its reading has ended.
-    :param scope: the timeout of its reading; moved up to interrupt it.
+    """One attempt to stream an answer along a path of replicas.
+
+    All times are in monotonic seconds.
+
+    :param sent: when this attempt was sent to the first replica.
+    :param progress: when the last event arrived, or the stream was sent or
+        moved if that was later.
+    :param tokens: tokens whose KV cache is accounted for on the path.
+    :param scope: the timeout around the reading of the answer; it is
+        rescheduled to now to interrupt the stream.
+    :param answered: whether the status and headers of the answer arrived.
+    :param first_event: when the first event arrived.
+    :param begun: whether the first event has arrived.
+    :param cleared: whether the request has run long enough not to be the
+        cause of a crash of its replicas.
+    :param moving: whether a move to another path is in progress.
+    :param over: whether the reading of the answer has finished.
+    :param stall_recorded: whether the present pause has been logged.
+    :param hindered: whether the stream waited for a replica that was lost.
+    :param reason: why the stream was interrupted; empty if it was not.
+    :param delivered: events that arrived in this attempt.
+    :param tries: attempts to move the stream while events were arriving.
+    :param tried: when the last move was attempted.
     """
 
     exchange: Exchange
@@ -42,7 +52,7 @@
     cleared: bool = False
     moving: bool = False
     over: bool = False
-    told: bool = False
+    stall_recorded: bool = False
     hindered: bool = False
     reason: str = ''
     delivered: int = 0
@@ -51,33 +61,38 @@
 
     @property
     def head(self) -> Replica:
-        """The first replica of its path."""
+        """The first replica of the path."""
         return self.path[0].replica
 
     @property
     def crosses(self) -> bool:
-        """Whether its path changes availability zones already."""
+        """Whether the path has replicas in several availability zones."""
         return len({stage.replica.zone for stage in self.path}) > 1
 
     def ran(self, now: float) -> bool:
-        """Whether it has run for too long to be why its replica ended.
+        """Whether it has run too long to be the cause of a replica's crash.
 
-        From its first event on: a slow replica may take long to begin.
+        The time counts from the first event, because a slow replica may take
+        long to produce it.
+
+        :param now: monotonic seconds.
         """
         first = self.first_event
         return first is not None and now - first >= FRESH_SECONDS
 
     def interrupt(self, reason: str) -> None:
-        """End its reading, so that it goes on elsewhere.
+        """Stop reading the answer, so that another attempt can resume it.
+
+        Does nothing if the stream was interrupted before, or if its reading
+        has finished, for example while a command to move it was in flight.
 
-        Nothing is left to end where it has ended while an order to move it
-        was on its way.
+        :param reason: logged as the reason of the failed attempt.
         """
         if not self.reason and not self.over:
             self.reason = reason
             self.scope.reschedule(asyncio.get_running_loop().time())
 
     def uses(self, names: Iterable[str]) -> bool:
-        """Whether its path has one of some replicas."""
+        """Whether the path contains any of the named replicas."""
         wanted = set(names)
         return any(stage.replica.name in wanted for stage in self.path)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -1,4 +1,4 @@
-"""The HTTP client towards upstreams."""
+"""The HTTP client that sends requests to upstreams."""
 
 import functools
 from collections.abc import AsyncIterator, Callable
@@ -15,13 +15,14 @@
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 
 IDLE_SECONDS = 4.0
-"""How long an unused connection is kept.
+"""Keep-alive timeout of pooled connections.
 
-Streams come every 200 ms to a first replica, so most find one. Upstreams
-that close idle ones sooner cost a repeat, where a repeat is allowed.
+A first replica receives a stream every 200 ms, so most streams find an open
+connection. If an upstream closes idle connections sooner, a request may fail
+and be repeated, where its route allows that.
 """
 
-_SKIPPED = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
+_SKIPPED_HEADERS = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
 _CONNECT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -29,19 +30,19 @@
 
 
 AnswerHook: TypeAlias = Callable[[Replica, AnswerTerms], None]
-"""Takes what an answer says of the replica that was asked."""
+"""Handles what an answer states about the replica that sent it."""
 
 
 class _StrictHandler(ResponseHandler):
-    """Takes a reset for an error also where the body has no length.
+    """Reports a reset connection as an error for bodies without a length.
 
-    Without a length a body ends with its connection. When that is reset the
-    parser takes what has come for the whole body, and the client would get
-    a part that looks complete.
+    A body without a length ends when its connection is closed. After a reset
+    the parser would take the part that has arrived for the complete body, and
+    so would the client.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Mark a body that was still being read as broken."""
+        """Set an error on a body that is incomplete after a reset."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(str(exc)))
@@ -49,7 +50,10 @@
 
 
 class Answer:
-    """An upstream's answer whose head has come."""
+    """An answer of an upstream whose status and headers have arrived.
+
+    :param terms: what the headers state about the request and the replica.
+    """
 
     def __init__(
         self,
@@ -64,47 +68,47 @@
         self._response = response
 
     async def read(self) -> bytes:
-        """Read the whole body.
+        """Read the complete body.
 
-        :raises SendError: if it ends early.
+        :raises SendError: if the connection fails before the body is complete.
         """
         try:
             return await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise SendError(SendErrorKind.LOST, _name(error)) from error
+            raise SendError(SendErrorKind.LOST, _name_error(error)) from error
 
     async def iterate(self) -> AsyncIterator[bytes]:
-        """Read the body as it comes.
+        """Yield the parts of the body as they arrive.
 
-        :raises SendError: if it ends early.
+        :raises SendError: if the connection fails before the body is complete.
         """
         try:
-            async for piece in self._response.content.iter_any():
-                yield piece
+            async for chunk in self._response.content.iter_any():
+                yield chunk
         except (aiohttp.ClientError, OSError) as error:
-            raise SendError(SendErrorKind.LOST, _name(error)) from error
+            raise SendError(SendErrorKind.LOST, _name_error(error)) from error
 
 
 class Upstreams:
-    """Connections to upstreams; some are kept, some are used once.
+    """Sends requests to upstreams over pooled or single-use connections.
 
-    :param on_answer: takes what each answer says of its replica.
+    :param on_answer: is called for each answer that is accepted.
     """
 
     def __init__(self, wire: Wire, on_answer: AnswerHook) -> None:
         self._wire = wire
         self._on_answer = on_answer
-        self._kept: aiohttp.ClientSession | None = None
-        self._single: aiohttp.ClientSession | None = None
+        self._pooled: aiohttp.ClientSession | None = None
+        self._single_use: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Make the pools."""
-        self._kept = _open_session(keepalive_timeout=IDLE_SECONDS)
-        self._single = _open_session(force_close=True)
+        """Open the sessions for pooled and for single-use connections."""
+        self._pooled = _open_session(keepalive_timeout=IDLE_SECONDS)
+        self._single_use = _open_session(force_close=True)
 
     async def stop(self) -> None:
         """Close all connections."""
-        for session in filter(None, (self._kept, self._single)):
+        for session in filter(None, (self._pooled, self._single_use)):
             await session.close()
 
     @asynccontextmanager
@@ -119,16 +123,18 @@
         identity: str,
         repeatable: bool,
     ) -> AsyncIterator[Answer]:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the status and headers of its answer.
 
-        A kept connection may be closed by the upstream just when a request
-        is written to it, and nobody can tell whether it ran. So only what
-        may be repeated goes over kept connections.
+        An upstream may close a pooled connection while a request is written
+        to it, and then it is unknown whether the request ran. So only
+        repeatable requests use pooled connections.
 
         :param target: path and query, byte for byte.
-        :raises SendError: if no usable answer comes.
+        :param identity: that the answer must carry.
+        :param repeatable: whether the request may run more than once.
+        :raises SendError: if no usable answer arrives.
         """
-        session = self._kept if repeatable else self._single
+        session = self._pooled if repeatable else self._single_use
         assert session is not None
         url = URL(f'http://{replica.address}{target}', encoded=True)
         try:
@@ -137,35 +143,40 @@
                 url,
                 data=body,
                 headers=headers,
-                skip_auto_headers=_SKIPPED,
+                skip_auto_headers=_SKIPPED_HEADERS,
                 allow_redirects=False,
             )
         except _CONNECT_ERRORS as error:
-            raise SendError(SendErrorKind.UNSENT, _name(error)) from error
+            raise SendError(SendErrorKind.UNSENT, _name_error(error)) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            raise SendError(SendErrorKind.LOST, _name(error)) from error
+            raise SendError(SendErrorKind.LOST, _name_error(error)) from error
         try:
-            answer = self._accept(response, identity)
+            answer = self._check_answer(response, identity)
             self._on_answer(replica, answer.terms)
             yield answer
         finally:
-            # Closing cancels the work at the upstream; after a whole body
-            # the connection is back in its pool already and stays open.
+            # Closing cancels the request at the upstream. After a complete
+            # body the connection has returned to its pool and stays open.
             response.close()
 
-    def _accept(
+    def _check_answer(
         self,
         response: aiohttp.ClientResponse,
         identity: str,
     ) -> Answer:
         """Check that an answer belongs to the request.
 
-        A late or second answer to an older request can come on the same
-        connection, where the next is expected. Its identity tells; passing
-        it on would show one client what another asked for.
+        A late or second answer to an older request can arrive on a connection
+        that is used for the next one. It is detected by its identity; if it
+        were passed on, one client would receive the data of another.
+
+        :raises SendError: if the answer belongs to another request, or its
+            body is encoded.
         """
-        raw = [(name.lower(), entry) for name, entry in response.raw_headers]
-        terms = self._wire.read_answer(response.status, raw)
+        headers = [
+            (name.lower(), entry) for name, entry in response.raw_headers
+        ]
+        terms = self._wire.read_answer(response.status, headers)
         if terms.identity != identity and (terms.identity or terms.signed):
             raise SendError(SendErrorKind.SPOILED, 'answer to another request')
         if terms.encoded:
@@ -184,7 +195,7 @@
         connector = aiohttp.TCPConnector(
             limit=0, keepalive_timeout=keepalive_timeout
         )
-    # The library has no public place for a stricter protocol.
+    # The library has no public way to set another protocol class.
     connector._factory = functools.partial(  # type: ignore[assignment]
         _StrictHandler, loop=connector._loop
     )
@@ -194,10 +205,10 @@
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=SEND_SECONDS),
     )
-    # Repeats are decided, counted and logged by the relay alone.
+    # Only the relay decides on, counts and logs repeated requests.
     session._retry_connection = False
     return session
 
 
-def _name(error: BaseException) -> str:
+def _name_error(error: BaseException) -> str:
     return type(error).__name__
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -1,9 +1,10 @@
-"""Finds streams that stand still and gets them going again.
+"""Detects stalled streams and moves them or resumes them on another path.
 
 A token passes through ten replicas. When one of them is lost, the first
-replica only waits, and after two seconds it gives up; by then the client has
-left. The first replica's report names the one that it waits for, so a stream
-can be moved to another path while its other parts keep what they have read.
+replica waits for it and gives up after two seconds; by then the client has
+disconnected. The report of the first replica names the replica that it waits
+for, so the stream can be moved to another path, and the remaining replicas
+keep the KV caches of the tokens that they have processed.
 """
 
 import asyncio
@@ -24,88 +25,106 @@
 from ryelatch_node.tasks import Tasks
 
 TICK_SECONDS = 0.02
-"""How often streams are looked at; a third of a pause that counts."""
+"""Interval between checks of all streams.
+
+It is about a third of ``MIN_SILENCE_SECONDS``.
+"""
 
 STALL_SECONDS = 0.4
-"""A pause after which the first replica is asked what it waits for.
+"""Pause after which the first replica is asked for a report.
 
-An event takes 40 to 100 ms, and some pass while long prompts are read. The
-report lags by 200 ms, so asking sooner finds nothing.
+An event takes 40 to 100 ms, and several such intervals pass while replicas
+process long prompts. The report lags by 200 ms, so an earlier one would not
+show the stall.
 """
 
 FIRST_STALL_SECONDS = 0.7
-"""The same before the first event, when the whole prompt is read."""
+"""``STALL_SECONDS`` before the first event, while the prompt is processed."""
+
+MIN_SILENCE_SECONDS = 0.07
+"""Minimum pause after which the replicas of a path are checked.
 
-SILENT_SECONDS = 0.07
-"""A pause after which the replicas of a path are tried, at least.
+Clients notice a pause of a quarter of a second, and another run needs most
+of that time to produce its first event.
+"""
+
+SILENCE_GAPS = 1.6
+"""The same pause as a multiple of the mean gap between events of the stream.
 
-Callers notice one of a quarter of a second, and most of that is what another
-run needs to its first event.
+The longer one of the two counts.
 """
 
-SILENT_GAPS = 1.6
-"""The same, in usual pauses of the stream."""
+SLOW_FRACTION = 0.6
+"""Pause after which replicas are checked for slowness.
 
-SLOW_SHARE = 0.6
-"""Share of the pause that a caller notices from which a path seems slow."""
+It is a fraction of the pause that the clients of the route notice.
+"""
 
-FIRST_SILENT_SECONDS = 0.25
-"""The same before a stream has a usual pause, as its prompt is read."""
+FIRST_SILENCE_SECONDS = 0.25
+"""Pause after which replicas are checked before a stream has two events.
+
+Its mean gap isn't known yet, and its prompt may still be processed.
+"""
 
 MOVE_PAUSE_SECONDS = 0.15
-"""Pause between tries to move a stream that stands still."""
+"""Pause between attempts to move a stalled stream."""
 
-REFUSED_PAUSE_SECONDS = 0.2
-"""Added to that pause after a move that was refused; orders are priced."""
+REFUSED_MOVE_PAUSE_SECONDS = 0.2
+"""Added to that pause after a refused move, as each command has a cost."""
 
 PATIENCE_SECONDS = 1.1
-"""How long a stream may stand still for a repair in its own zone.
+"""Maximum pause of a stream that waits for a repair in its own zone.
 
-An empty replica loads four layers in 0.7 s, and a move to it then costs the
-reading of those four. A new run elsewhere reads everything again, and sixty
-streams that do so at once fill the zones that are left.
+An empty replica loads four layers in 0.7 s, and after a move to it only these
+four layers process the tokens again. A new run on another path processes them
+in all layers, and sixty streams that do so at once overload the remaining
+zones.
 """
 
 GIVE_UP_SECONDS = 1.3
-"""A pause after which a stream is resumed on another path.
+"""Pause after which a stream is resumed on another path.
 
-Clients leave after two seconds without an event; a new run needs about half
-a second to its first one.
+Clients disconnect after two seconds without an event, and a new run needs
+about half a second to produce its first one.
 """
 
-_REPORT_SECONDS = 0.4
+_REPORT_TIMEOUT_SECONDS = 0.4
 
 
 @dataclass(eq=False)
 class StreamWatch:
-    """Looks after the streams of this node."""
+    """Checks all streams of this node and handles those that are stalled.
+
+    :param prober: checks replicas that refused a request.
+    :param streams: the streams in progress.
+    """
 
     parts: Parts
     prober: Prober
     streams: set[LiveStream] = field(default_factory=set)
-    _asked: dict[str, float] = field(default_factory=dict)
+    _report_requested: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
     _ticker: 'asyncio.Task[None] | None' = None
     _lag: LagMeter = field(default_factory=LagMeter)
 
     def __post_init__(self) -> None:
-        """Make what moves streams."""
-        self._mover = Mover(self.parts, self.prober)
-        self._evacuation = Evacuation(self.parts.replicas)
-        self._checks = PathChecks(self.parts)
+        """Create the parts that check and move streams."""
+        self._migrator = Mover(self.parts, self.prober)
+        self._departures = Evacuation(self.parts.replicas)
+        self._path_checks = PathChecks(self.parts)
         self._tasks = Tasks(self.parts.log, 'streams')
 
     async def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic checks."""
         self._ticker = asyncio.create_task(
             keep_running('streams', self._run, self.parts.log)
         )
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop the checks and all tasks that they started."""
         await cancel_task(self._ticker)
         await self.prober.stop()
-        await self._checks.stop()
+        await self._path_checks.stop()
         await self.parts.paces.stop()
         await self._tasks.stop()
 
@@ -114,96 +133,105 @@
         while True:
             due = clock.monotonic() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
-            # Events that came while this process stood still lie unread, and
-            # each stream would seem to have stood still for as long.
+            # Events that arrived while this process was blocked are still
+            # unread, and every stream would look stalled for that time.
             if not self._lag.note(due, clock.monotonic()):
-                self._look()
+                self._check_streams()
 
-    def _look(self) -> None:
+    def _check_streams(self) -> None:
         now = self.parts.clock.monotonic()
         lost = self.parts.replicas.list_unreachable()
         for stream in tuple(self.streams):
             if not stream.moving and not stream.reason:
-                self._look_at(stream, now, lost)
+                self._check_stream(stream, now, lost)
 
-    def _look_at(
+    def _check_stream(
         self,
         stream: LiveStream,
         now: float,
         lost: frozenset[str],
     ) -> None:
         pause = now - stream.progress
-        silence = _find_silence(stream)
-        if lost and pause > silence and stream.uses(lost):
+        silence_limit = _find_silence_limit(stream)
+        if lost and pause > silence_limit and stream.uses(lost):
             if now - stream.tried > MOVE_PAUSE_SECONDS:
-                self._tasks.spawn(self._move(stream, pause))
+                self._tasks.spawn(self._move_off_unreachable(stream, pause))
             return
-        if pause > silence * self._checks.patience:
-            self._checks.check(stream.path)
-        if pause > max(silence, stream.inquiry.route.gap * SLOW_SHARE):
+        if pause > silence_limit * self._path_checks.threshold_factor:
+            self._path_checks.check(stream.path)
+        if pause > max(silence_limit, stream.inquiry.route.gap * SLOW_FRACTION):
             self.parts.paces.check(stream.path)
-        if pause > _limit(stream):
-            _tell_stall(stream, pause)
-            self._ask(stream.head, now)
+        if pause > _find_stall_limit(stream):
+            _record_stall(stream, pause)
+            self._request_report(stream.head, now)
         else:
-            self._evacuate(stream, now)
+            self._check_leaving(stream, now)
         if pause > GIVE_UP_SECONDS and self._may_resume(stream):
             stream.interrupt('silent')
 
-    def _ask(self, head: Replica, now: float) -> None:
-        """Ask a first replica for its report, once for all its streams."""
-        if now - self._asked.get(head.name, 0) < _REPORT_SECONDS / 2:
+    def _request_report(self, replica: Replica, now: float) -> None:
+        """Request a report of a first replica, once for all its streams."""
+        if (
+            now - self._report_requested.get(replica.name, 0)
+            < _REPORT_TIMEOUT_SECONDS / 2
+        ):
             return
-        self._asked[head.name] = now
-        self._tasks.spawn(self._consult(head))
+        self._report_requested[replica.name] = now
+        self._tasks.spawn(self._evaluate_report(replica))
 
-    async def _consult(self, head: Replica) -> None:
-        if not await self.parts.throttle.take(head):
+    async def _evaluate_report(self, replica: Replica) -> None:
+        if not await self.parts.throttle.take(replica):
             return
         sent = self.parts.clock.monotonic()
         try:
-            async with asyncio.timeout(_REPORT_SECONDS):
-                report = await self.parts.orders.read_report(head)
+            async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
+                report = await self.parts.orders.read_report(replica)
         except TimeoutError:
-            self._lag.note(sent + _REPORT_SECONDS, self.parts.clock.monotonic())
+            self._lag.note(
+                sent + _REPORT_TIMEOUT_SECONDS, self.parts.clock.monotonic()
+            )
             if self._lag.was_late(sent):
-                # The answer may lie unread. Its streams still stand still if
-                # it was lost, and it is asked again at once.
+                # The report may have arrived unread. If the replica is lost,
+                # its streams are still stalled and it is asked again soon.
                 self.parts.log.record(
-                    catalogue.REPORT_DOUBTFUL, replica=head.name
+                    catalogue.REPORT_DOUBTFUL, replica=replica.name
                 )
                 return
             report = None
         if report is None:
-            self.parts.replicas.suspect(head, 'no report', full=False)
-            self._leave_head(head)
+            self.parts.replicas.suspect(replica, 'no report', full=False)
+            self._interrupt_streams_on(replica)
             return
         for stream in self.streams:
             address = report.stalled.get(stream.inquiry.terms.identity)
-            if address is not None and stream.head.name == head.name:
-                self._blame(stream, address)
+            if address is not None and stream.head.name == replica.name:
+                self._suspect_stalled(stream, address)
 
-    def _blame(self, stream: LiveStream, address: str) -> None:
-        """Keep away from the part of a stream's path that it waits for.
+    def _suspect_stalled(self, stream: LiveStream, address: str) -> None:
+        """Suspect the replica of a stream's path that has an address.
 
-        The replica that has this address by now may be another one.
+        Only the path is searched, as another replica may have the address by
+        now.
         """
         for stage in stream.path[1:]:
             if stage.replica.address == address:
                 stream.hindered = True
                 self.parts.replicas.suspect(stage.replica, 'stalls', full=False)
 
-    def _leave_head(self, head: Replica) -> None:
+    def _interrupt_streams_on(self, replica: Replica) -> None:
         for stream in self.streams:
-            if stream.head.name == head.name and stream.inquiry.repeatable:
+            if stream.head.name == replica.name and stream.inquiry.repeatable:
                 stream.interrupt(HEAD_LOST)
 
-    async def _move(self, stream: LiveStream, pause: float) -> None:
-        """Move a stream off the replicas that are unreachable.
+    async def _move_off_unreachable(
+        self, stream: LiveStream, pause: float
+    ) -> None:
+        """Move a stream off the unreachable replicas of its path.
 
-        Inside its zone: across zones the activations of all its tokens would
-        cross, and those of sixty others that stand still as well. It crosses
-        only where it can't be resumed on a path of another zone.
+        The new path stays in the zone. Otherwise the activations of all its
+        tokens would cross zones, and so would those of sixty other stalled
+        streams. Zones are crossed only if the stream can't be resumed on a
+        path in another zone.
         """
         lost = self.parts.replicas.list_unreachable()
         if stream.head.name in lost:
@@ -214,95 +242,103 @@
         stream.tried = self.parts.clock.monotonic()
         resumable = self._may_resume(stream)
         try:
-            result = await self._mover.move(stream, lost, crosses=not resumable)
+            result = await self._migrator.move(
+                stream, lost, crosses=not resumable
+            )
         finally:
             stream.moving = False
         if result in {OrderResult.BEGUN, OrderResult.HELD}:
             return
-        stream.tried += REFUSED_PAUSE_SECONDS
-        # A new run may still come before its caller notices.
+        stream.tried += REFUSED_MOVE_PAUSE_SECONDS
+        # Until the client notices the pause, a new run may still produce an
+        # event in time, so the stream doesn't wait for a repair.
         noticed = pause >= stream.inquiry.route.gap
-        waits = result is None and noticed and pause < PATIENCE_SECONDS
-        if waits and self._is_repair_near(stream):
+        may_wait = result is None and noticed and pause < PATIENCE_SECONDS
+        if may_wait and self._is_repair_imminent(stream):
             return
-        # Without a place here a client still has one elsewhere: it sees the
-        # break and comes back for the rest, if that is before it gives up.
-        hopeless = stream.inquiry.repeatable and pause > GIVE_UP_SECONDS
-        if resumable or hopeless:
+        # Where no path is free here, the client may be served by another
+        # node: it sees the broken connection and requests the rest, if it
+        # hasn't given up by then.
+        recoverable_elsewhere = (
+            stream.inquiry.repeatable and pause > GIVE_UP_SECONDS
+        )
+        if resumable or recoverable_elsewhere:
             stream.interrupt(f'move {result.value}' if result else 'no path')
 
     def _may_resume(self, stream: LiveStream) -> bool:
-        """Whether a new run may go on with a stream whose replicas live.
+        """Whether a new run may resume a stream that is still running.
 
-        Streams that were cut off when no retry was left, or no other path,
-        were lost though their replicas would have gone on with them: after
-        one crash 38 of 69.
+        When streams were interrupted although no retry or no other path was
+        left, they were lost, while their replicas would have continued them:
+        38 of 69 streams after one crash.
         """
         inquiry = stream.inquiry
-        if self.parts.budget.left < 1 or not self._has_place(stream):
+        if self.parts.budget.left < 1 or not self._has_path(stream):
             return False
-        # The run in progress counts, though nothing of it may have come yet.
+        # The run in progress counts, even if none of its events arrived yet.
         ran = stream.exchange.ran + int(not stream.begun)
         return inquiry.repeatable and ran < inquiry.route.max_attempts
 
-    def _has_place(self, stream: LiveStream) -> bool:
-        """Whether there is a path for a new run, in whichever zone."""
+    def _has_path(self, stream: LiveStream) -> bool:
+        """Whether any zone has a path for a new run."""
         service = stream.inquiry.service
         lost = self.parts.replicas.list_unreachable()
         query = make_query(self.parts, stream.inquiry, lost)
         if query is None:
             return False
-        whole = replace(query, crosses=False)
+        single_zone = replace(query, crosses=False)
         offered = self.parts.replicas.list_service(service)
-        return bool(choose_path(offered, whole))
+        return bool(choose_path(offered, single_zone))
 
-    def _is_repair_near(self, stream: LiveStream) -> bool:
-        """Whether an empty replica may hold the lost layers in time."""
+    def _is_repair_imminent(self, stream: LiveStream) -> bool:
+        """Whether an empty replica of the zone can load the layers in time."""
         service = stream.inquiry.service
         profile = find_profile(self.parts, service)
         if profile is None:
             return False
         alive = self.parts.replicas.list_alive(service)
-        names = {one.name for one in alive}
+        names = {replica.name for replica in alive}
         lost = [
             stage for stage in stream.path if stage.replica.name not in names
         ]
         layers = max((len(stage.layers) for stage in lost), default=0)
         seconds = layers / profile.layers * profile.load_seconds
-        spared = any(
-            one.zone == stream.head.zone and one.layers is None for one in alive
+        has_spare = any(
+            replica.zone == stream.head.zone and replica.layers is None
+            for replica in alive
         )
-        return spared and seconds < PATIENCE_SECONDS
+        return has_spare and seconds < PATIENCE_SECONDS
 
-    def _evacuate(self, stream: LiveStream, now: float) -> None:
-        """Move a stream that still flows off replicas that are about to go.
+    def _check_leaving(self, stream: LiveStream, now: float) -> None:
+        """Move a running stream off replicas that are about to stop.
 
-        A first replica that leaves takes no more orders. Its streams are let
-        be, though they hold up others that give up layers: one that flows and
-        is cut off for that has no place elsewhere for certain.
+        A first replica that is leaving accepts no more commands, so its
+        streams stay. They delay other replicas that are to give up layers,
+        but a stream that is interrupted for that isn't certain to find
+        another path.
         """
-        if self._evacuation.is_leaving(stream.head):
+        if self._departures.is_leaving(stream.head):
             return
-        retreating = self._evacuation.find_due(stream, now)
-        if retreating:
-            self._tasks.spawn(self._move_off(stream, retreating))
+        leaving = self._departures.find_due(stream, now)
+        if leaving:
+            self._tasks.spawn(self._move_off_leaving(stream, leaving))
 
-    async def _move_off(
+    async def _move_off_leaving(
         self,
         stream: LiveStream,
-        retreating: frozenset[str],
+        leaving: frozenset[str],
     ) -> None:
         stream.moving = True
         try:
-            await self._mover.move(stream, retreating, crosses=stream.crosses)
+            await self._migrator.move(stream, leaving, crosses=stream.crosses)
         finally:
             stream.moving = False
 
 
-def _tell_stall(stream: LiveStream, pause: float) -> None:
-    """Record a pause once, however often the stream is looked at."""
-    if not stream.told:
-        stream.told = True
+def _record_stall(stream: LiveStream, pause: float) -> None:
+    """Log a pause once, however often the stream is checked."""
+    if not stream.stall_recorded:
+        stream.stall_recorded = True
         stream.exchange.record(
             catalogue.STREAM_STALLED,
             head=stream.head.name,
@@ -311,14 +347,14 @@
         )
 
 
-def _find_silence(stream: LiveStream) -> float:
-    """Tell after which pause a stream is taken to stand still."""
+def _find_silence_limit(stream: LiveStream) -> float:
+    """Compute the pause after which the replicas of a stream are checked."""
     if stream.first_event is None or stream.delivered < 2:
-        return FIRST_SILENT_SECONDS
-    flowed = stream.progress - stream.first_event
-    gap = flowed / (stream.delivered - 1)
-    return max(SILENT_SECONDS, SILENT_GAPS * gap)
+        return FIRST_SILENCE_SECONDS
+    flowing_seconds = stream.progress - stream.first_event
+    gap = flowing_seconds / (stream.delivered - 1)
+    return max(MIN_SILENCE_SECONDS, SILENCE_GAPS * gap)
 
 
-def _limit(stream: LiveStream) -> float:
+def _find_stall_limit(stream: LiveStream) -> float:
     return STALL_SECONDS if stream.begun else FIRST_STALL_SECONDS
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -1,4 +1,4 @@
-"""A node that stood still itself blames no replica for it."""
+"""A node that was blocked itself doesn't take replicas for lost."""
 
 import asyncio
 from types import SimpleNamespace
@@ -28,13 +28,17 @@
 
 
 class _Stream(SimpleNamespace):
-    """What the watch looks at; it is kept in a set."""
+    """The attributes of a stream that the watch reads; it is hashable."""
 
     __hash__ = object.__hash__
 
 
 def _make_watch(answers_after: float) -> tuple[StreamWatch, list[str]]:
-    """Watch one stream whose first replica answers a report in some time."""
+    """Create a watch with one stalled stream.
+
+    :param answers_after: seconds after which its first replica sends a report.
+    :returns: the watch, and the reasons with which the stream is interrupted.
+    """
 
     async def read_report(_: Replica) -> Report:
         await asyncio.sleep(answers_after)
@@ -72,7 +76,7 @@
         delivered=0,
         moving=False,
         reason='',
-        told=True,
+        stall_recorded=True,
         progress=clock.monotonic(),
         tries=0,
         tried=0.0,
@@ -89,7 +93,7 @@
     return watch, interrupted
 
 
-def _stand_still(seconds: float) -> None:
+def _block_loop(seconds: float) -> None:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
     loop.stand_still(seconds)
@@ -97,18 +101,18 @@
 
 @pytest.mark.parametrize('at', [0.42, 0.52, 0.62, 0.72])
 def test_late_reading_is_no_loss(at: float) -> None:
-    """A node gets no processor time for a second, its streams flow on.
+    """A node gets no processor time for a second while its streams continue.
 
-    The report that it had asked for came in time and lay unread until after
-    its timeout. The first replica was taken for lost, and all of its streams
-    were cut off in the middle.
+    The report that it requested arrives in time and is read only after its
+    timeout. The first replica must not be taken for lost, because then all of
+    its streams would be interrupted.
     """
 
     async def play() -> None:
         watch, interrupted = _make_watch(answers_after=0.2)
         await watch.start()
         await asyncio.sleep(at)
-        _stand_still(1)
+        _block_loop(1)
         await asyncio.sleep(1)
         await watch.stop()
         assert not interrupted
@@ -118,13 +122,13 @@
 
 
 def test_silent_replica_is_lost_all_the_same() -> None:
-    """The node stands still once, and the report never comes."""
+    """The node is blocked once, and the report never arrives."""
 
     async def play() -> None:
         watch, interrupted = _make_watch(answers_after=100)
         await watch.start()
         await asyncio.sleep(0.5)
-        _stand_still(1)
+        _block_loop(1)
         await asyncio.sleep(1.2)
         await watch.stop()
         assert HEAD_LOST in interrupted
--- a/tests/node/relay/test_silence.py
+++ b/tests/node/relay/test_silence.py
@@ -1,6 +1,6 @@
-"""Which replicas of a path that stands still are taken to be lost.
+"""Which replicas of a stalled path are taken for lost.
 
-The load is the loss of replicas in the middle of paths, which say nothing.
+Nothing reports the loss of a replica in the middle of a path to the node.
 """
 
 import asyncio
@@ -16,17 +16,17 @@
 from ryelatch_node.beliefs import ReplicaView
 from ryelatch_node.ports import Reach
 from ryelatch_node.relay._silence import (
-    MOST_ALARM,
-    REST_SECONDS,
-    TRY_SECONDS,
+    CONNECT_SECONDS,
+    COOLDOWN_SECONDS,
+    MAX_THRESHOLD_FACTOR,
     PathChecks,
 )
 from virtual.loop import VirtualClock, VirtualLoop, run
 
 _NEVER = 100.0
-_ALMOST_USUAL = 1.1
+_NEARLY_ONE = 1.1
 _REACHED_SECONDS = 0.002
-_ROUNDS = 5
+_LOOP_ROUNDS = 5
 _STAGES = tuple(
     Stage(
         Replica(
@@ -42,19 +42,19 @@
     for number in range(4)
 )
 
-_Answer = Callable[[str, int], tuple[float, Reach]]
-"""Tells after how long and how the nth try of a replica ends."""
+_Connect = Callable[[str, int], tuple[float, Reach]]
+"""Returns the duration and the result of the nth connection to a replica."""
 
 
-def _make_checks(answer: _Answer) -> tuple[PathChecks, ReplicaView]:
+def _make_checks(answer: _Connect) -> tuple[PathChecks, ReplicaView]:
     tries: Counter[str] = Counter()
 
     async def reach(replica: Replica) -> Reach:
         tries[replica.name] += 1
         seconds, found = answer(replica.name, tries[replica.name])
         await asyncio.sleep(seconds)
-        # Timers that are due come first, as on the loop that nodes run on.
-        for _ in range(_ROUNDS):
+        # Lets due timers run first, as on the event loop that nodes use.
+        for _ in range(_LOOP_ROUNDS):
             await asyncio.sleep(0)
         return found
 
@@ -72,8 +72,11 @@
     return PathChecks(parts), view
 
 
-def _play(answer: _Answer, *, late: float = 0) -> set[str]:
-    """Check a path once; name the replicas that are taken to be lost."""
+def _play(answer: _Connect, *, late: float = 0) -> set[str]:
+    """Check a path once, and return the replicas that are taken for lost.
+
+    :param late: seconds for which the event loop is blocked meanwhile.
+    """
     lost: set[str] = set()
 
     async def play() -> None:
@@ -84,7 +87,7 @@
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualLoop)
             loop.stand_still(late)
-        await asyncio.sleep(TRY_SECONDS + _REACHED_SECONDS)
+        await asyncio.sleep(CONNECT_SECONDS + _REACHED_SECONDS)
         await checks.stop()
         lost.update(view.list_unreachable())
 
@@ -93,7 +96,7 @@
 
 
 def test_silent_replica_is_found_at_once() -> None:
-    """One of a path has gone dark; its streams can still go on in time."""
+    """A replica that doesn't respond is found before clients give up."""
 
     def answer(name: str, _: int) -> tuple[float, Reach]:
         gone = name == 'm-2'
@@ -103,7 +106,7 @@
 
 
 def test_ended_replica_is_found_at_once() -> None:
-    """The process of one has ended; its address refuses connections."""
+    """The process of a replica has crashed; its address refuses connections."""
 
     def answer(name: str, _: int) -> tuple[float, Reach]:
         ended = name == 'm-1'
@@ -113,12 +116,12 @@
 
 
 def test_cut_off_node_blames_nobody() -> None:
-    """The node reaches nothing at all: its own way is cut."""
+    """A node that reaches no replica at all is cut off itself."""
     assert not _play(lambda *_: (_NEVER, Reach.LISTENS))
 
 
 def test_lost_packet_is_no_loss() -> None:
-    """The first connection to each replica hangs, the second one does not."""
+    """The first connection to each replica hangs, but the second succeeds."""
 
     def answer(_: str, number: int) -> tuple[float, Reach]:
         return (_NEVER if number == 1 else _REACHED_SECONDS), Reach.LISTENS
@@ -127,33 +130,36 @@
 
 
 def test_late_reading_of_tries_is_no_loss() -> None:
-    """A node without processor time reads most answers after their timeout."""
+    """A node without processor time reads most results after their timeout."""
 
     def answer(name: str, _: int) -> tuple[float, Reach]:
         soon = _REACHED_SECONDS / 4
         return (soon if name == 'm-0' else _REACHED_SECONDS), Reach.LISTENS
 
-    assert not _play(answer, late=TRY_SECONDS * 3)
+    assert not _play(answer, late=CONNECT_SECONDS * 3)
 
 
 def test_pauses_for_nothing_are_tried_less() -> None:
-    """Crowded paths pause all the time, and connections have their price."""
+    """Crowded paths pause all the time, and each connection has a cost.
+
+    After checks that reach all replicas, the pause threshold rises for a time.
+    """
 
     async def play() -> None:
         checks, _ = _make_checks(lambda *_: (0.001, Reach.LISTENS))
-        assert checks.patience < _ALMOST_USUAL
+        assert checks.threshold_factor < _NEARLY_ONE
         for _ in range(10):
             checks.check(_STAGES)
-            await asyncio.sleep(REST_SECONDS * 1.1)
-        assert 2 < checks.patience <= MOST_ALARM
+            await asyncio.sleep(COOLDOWN_SECONDS * 1.1)
+        assert 2 < checks.threshold_factor <= MAX_THRESHOLD_FACTOR
         await asyncio.sleep(20)
-        assert checks.patience < _ALMOST_USUAL
+        assert checks.threshold_factor < _NEARLY_ONE
 
     run(play())
 
 
 def test_replica_is_tried_once_for_all_streams() -> None:
-    """Sixty streams stand still at once."""
+    """Sixty streams stall at the same time and share the checks."""
     tried: list[str] = []
 
     def answer(name: str, _: int) -> tuple[float, Reach]:
@@ -164,7 +170,7 @@
         checks, _ = _make_checks(answer)
         for _ in range(60):
             checks.check(_STAGES)
-        await asyncio.sleep(TRY_SECONDS)
+        await asyncio.sleep(CONNECT_SECONDS)
 
     run(play())
     assert len(tried) <= 2 * len(_STAGES)
