--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -77,7 +77,11 @@
         arrived = parts.clock.monotonic()
         terms = parts.wire.read_request(scope['headers'])
         exchange = Exchange(
-            terms.identity, send, parts.log, parts.clock, self.stop_state.closing
+            terms.identity,
+            send,
+            parts.log,
+            parts.clock,
+            self.stop_state.closing,
         )
         try:
             body = await self._read_body(receive)
@@ -90,7 +94,9 @@
             # Nothing was sent to an upstream, so a client may safely repeat
             # the request, as a 408 permits.
             exchange.closing = True
-            await exchange.refuse(_REQUEST_TIMEOUT, 'the request body timed out')
+            await exchange.refuse(
+                _REQUEST_TIMEOUT, 'the request body timed out'
+            )
             return
         await self._first_lists.wait()
         arrival = Arrival(scope, terms, body, arrived)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -25,8 +25,8 @@
     """What the attempts of one request have brought so far.
 
     :param cutter: cuts the answer into events, over all attempts.
-    :param left: first replicas whose runs failed or were interrupted by this
-        node.
+    :param left: first replicas whose runs failed or were interrupted, which
+        other attempts avoid where they can.
     :param may_have_run: whether an attempt may have run without an answer.
     :param crashes: first replicas that crashed when a run had just begun.
     :param failure_answer: the last error response of a replica and its body;
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -96,7 +96,10 @@
     def ready(self) -> bool:
         """Whether new clients should be sent here."""
         parts = self._parts
-        if self._ingress.stop_state.closing or parts.configuration.table is None:
+        if (
+            self._ingress.stop_state.closing
+            or parts.configuration.table is None
+        ):
             return False
         return parts.replicas.listed and parts.configuration.allows_keys()
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
@@ -32,10 +32,10 @@
     :param moving: whether a move to another path is in progress.
     :param over: whether the reading of the answer has finished.
     :param stall_recorded: whether the present pause has been logged.
-    :param hindered: whether the stream waited for a replica that was lost.
+    :param hindered: whether the stream waited for a lost replica.
     :param reason: why the stream was interrupted; empty if it was not.
     :param delivered: events that arrived in this attempt.
-    :param tries: attempts to move the stream while events were arriving.
+    :param tries: attempts to move the stream off leaving replicas.
     :param tried: when the last move was attempted.
     """
 
