--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -98,20 +98,20 @@
     Mechanism(
         'evacuation',
         f'{_RELAY}/_evacuation.py',
-        r'MOST_TRIES = .*',
-        'MOST_TRIES = 0',
+        r'MAX_TRIES = .*',
+        'MAX_TRIES = 0',
     ),
     Mechanism(
         'waiting for a repair',
         f'{_RELAY}/_watch.py',
-        r'PATIENCE_SECONDS = .*',
-        'PATIENCE_SECONDS = 0.0',
+        r'MAX_REPAIR_WAIT_SECONDS = .*',
+        'MAX_REPAIR_WAIT_SECONDS = 0.0',
     ),
     Mechanism(
         'first lists',
         f'{_RELAY}/_beginning.py',
-        r'KNOWN_SECONDS = .*',
-        'KNOWN_SECONDS = 0.0',
+        r'MAX_WAIT_SECONDS = .*',
+        'MAX_WAIT_SECONDS = 0.0',
     ),
     Mechanism(
         'early listener',
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -7,8 +7,8 @@
 from ryelatch_core.quarantine import digest_request
 from ryelatch_core.routing import Route, RoutingTable, choose_service
 from ryelatch_node.ports import RequestTerms
-from ryelatch_node.relay._exchange import Inquiry
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._exchange import AdmittedRequest
+from ryelatch_node.relay._parts import RelayContext
 
 MAX_DENIAL_AGE_SECONDS = 2.9
 """Age of the configuration up to which requests are answered 401 or 404.
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class StopState:
+class ShutdownState:
     """How far the planned shutdown of this node has advanced.
 
     :param closing: set from the start of the shutdown on: the node reports
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class ReceivedRequest:
     """A request whose body was received completely.
 
     :param received_at: when its headers were received, in monotonic seconds.
@@ -87,37 +87,37 @@
 
 
 def admit(
-    parts: Parts, shutdown: StopState, arrival: Arrival
-) -> Inquiry | Refusal:
+    context: RelayContext, shutdown: ShutdownState, received: ReceivedRequest
+) -> AdmittedRequest | Refusal:
     """Decide whether to serve a request, and by which service.
 
     :returns: the admitted request, or why it is refused.
     """
-    table = parts.configuration.table
+    table = context.configuration.table
     if table is None:
         return Refusal(
             _UNAVAILABLE, 'no configuration yet', UNCONFIRMED_RETRY_SECONDS
         )
-    if not parts.replicas.listed:
+    if not context.replicas.listed:
         # Without a list all layers seem to be missing, and the client would
         # get the Retry-After of a repair. The list comes within milliseconds.
         return Refusal(_UNAVAILABLE, 'no registry yet', LIST_RETRY_SECONDS)
     if shutdown.last_call:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    scope, terms = arrival.scope, arrival.terms
+    scope, terms = received.scope, received.terms
     host = _read_host(scope)
     path = scope['raw_path'].decode('latin-1')
     route = table.find_route(host, path)
     if route is None:
-        return _deny(parts, _NOT_FOUND, 'no such route')
+        return _deny(context, _NOT_FOUND, 'no such route')
     if shutdown.refuses_streams and route.streaming:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    account = _identify(parts, table, route, terms)
+    account = _identify(context, table, route, terms)
     if isinstance(account, Refusal):
         return account
     method, target = scope['method'], _read_target(scope, path)
-    digest = digest_request(host, method, target, account, arrival.body)
-    case = parts.quarantine.find_refused(digest)
+    digest = digest_request(host, method, target, account, received.body)
+    case = context.quarantine.find_refused(digest)
     if case is not None:
         return Refusal(
             _UNAVAILABLE,
@@ -127,24 +127,24 @@
             tuple(sorted(case.lives)),
         )
     timeout = min(route.timeout, terms.deadline or route.timeout)
-    return Inquiry(
+    return AdmittedRequest(
         method,
         target,
         scope['headers'],
-        arrival.body,
+        received.body,
         terms,
         route,
-        choose_service(route, parts.draw()),
+        choose_service(route, context.draw()),
         account,
-        arrival.received_at,
-        arrival.received_at + timeout,
+        received.received_at,
+        received.received_at + timeout,
         table.configuration.version,
         digest,
     )
 
 
 def _identify(
-    parts: Parts,
+    context: RelayContext,
     table: RoutingTable,
     route: Route,
     terms: RequestTerms,
@@ -156,22 +156,22 @@
     """
     if route.anonymous or not table.configuration.accounts:
         return ''
-    if not parts.configuration.allows_keys():
+    if not context.configuration.allows_keys():
         return Refusal(
             _UNAVAILABLE, 'keys are unconfirmed', UNCONFIRMED_RETRY_SECONDS
         )
     account = table.find_account(terms.key)
     if account is None:
-        return _deny(parts, _UNAUTHORIZED, 'unknown key')
+        return _deny(context, _UNAUTHORIZED, 'unknown key')
     return account.name
 
 
-def _deny(parts: Parts, status: int, reason: str) -> Refusal:
+def _deny(context: RelayContext, status: int, reason: str) -> Refusal:
     """Refuse a request that the configuration does not allow.
 
     The status asks for a retry if the configuration may be outdated.
     """
-    if parts.configuration.age > MAX_DENIAL_AGE_SECONDS:
+    if context.configuration.age > MAX_DENIAL_AGE_SECONDS:
         return Refusal(
             _UNAVAILABLE, f'{reason}, unconfirmed', UNCONFIRMED_RETRY_SECONDS
         )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_beginning.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_beginning.py
@@ -3,9 +3,9 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 
-KNOWN_SECONDS = 0.3
+MAX_WAIT_SECONDS = 0.3
 """Longest wait of a request for the first configuration and replica list.
 
 The calls to the store take 5 ms each, and 0.3 s where the store is slowed
@@ -16,7 +16,7 @@
 
 
 @dataclass(eq=False)
-class FirstLists:
+class InitialSync:
     """Waits for the first configuration and the first list of replicas.
 
     They are received within milliseconds of the start. A client whose node
@@ -24,16 +24,16 @@
     has no list yet, the request is lost.
     """
 
-    parts: Parts
+    context: RelayContext
     _waiting: 'asyncio.Task[None] | None' = field(init=False, default=None)
 
     async def wait(self) -> None:
-        """Wait until both were received, or for ``KNOWN_SECONDS``."""
+        """Wait until both were received, or for ``MAX_WAIT_SECONDS``."""
         if self._is_complete():
             return
         if self._waiting is None:
             self._waiting = asyncio.create_task(self._poll())
-        await asyncio.wait((self._waiting,), timeout=KNOWN_SECONDS)
+        await asyncio.wait((self._waiting,), timeout=MAX_WAIT_SECONDS)
 
     async def _poll(self) -> None:
         """Poll until both were received; all waiting requests share a task."""
@@ -42,5 +42,7 @@
         self._waiting = None
 
     def _is_complete(self) -> bool:
-        parts = self.parts
-        return parts.configuration.table is not None and parts.replicas.listed
+        context = self.context
+        return (
+            context.configuration.table is not None and context.replicas.listed
+        )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_budget.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_budget.py
@@ -22,7 +22,7 @@
 REFILL_FRACTION = 0.3
 """Fraction of a window's extra retries that is refilled over its length."""
 
-UNCOUNTED_NODES = 100
+NODES_BEFORE_COUNT = 100
 """Number of nodes assumed until the nodes have been counted.
 
 With 8 assumed, sixty nodes that were killed and restarted together each took
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class RetryTerms:
+class RetryAllowance:
     """Retries allowed to all nodes together.
 
     :param ratio: retries allowed for each request.
@@ -47,15 +47,15 @@
     window: float
 
 
-def open_budget(allowance: RetryTerms) -> RetryBudget:
+def make_budget(allowance: RetryAllowance) -> RetryBudget:
     """Create this node's budget while the number of nodes is unknown."""
     budget = RetryBudget(allowance.ratio * EARNED_FRACTION, MIN_SAVED)
-    share_budget(budget, allowance, UNCOUNTED_NODES)
+    resize_budget(budget, allowance, NODES_BEFORE_COUNT)
     return budget
 
 
-def share_budget(
-    budget: RetryBudget, allowance: RetryTerms, nodes: int
+def resize_budget(
+    budget: RetryBudget, allowance: RetryAllowance, nodes: int
 ) -> None:
     """Resize a node's budget to its part of the allowed retries.
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -10,72 +10,72 @@
     choose_path,
     rank_heads,
 )
-from ryelatch_node.relay._exchange import Exchange, Inquiry
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._progress import Progress
-from ryelatch_node.relay._query import make_query
+from ryelatch_node.relay._query import make_path_query
 
 MAX_FIRST_REPLICAS = 3
 """First replicas tried for a request that may crash the replica it runs on."""
 
 
 def choose_request_path(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
     """Choose the path for the next attempt of a request.
 
     :returns: its stages; empty if there is no path.
     """
-    with parts.costs.spend('paths'):
-        return _choose(parts, exchange, inquiry, progress)
+    with context.costs.spend('paths'):
+        return _choose(context, exchange, request, progress)
 
 
 def _choose(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
-    suspects = parts.replicas.list_suspects()
-    query = make_query(parts, inquiry, suspects)
+    suspects = context.replicas.list_suspects()
+    query = make_path_query(context, request, suspects)
     if query is None:
         return ()
-    throttled = parts.throttle.list_closed()
-    full = frozenset() if exchange.started else _list_closed(parts, inquiry)
+    throttled = context.throttle.list_closed()
+    full = frozenset() if exchange.started else _list_closed(context, request)
     query = replace(query, closed=throttled | full)
-    offered = parts.replicas.list_service(inquiry.service)
+    offered = context.replicas.list_service(request.service)
     # A first replica that failed or stalled this request would most likely do
     # so again, and so would replicas that fail many requests.
-    failing = parts.failures.list_failing(parts.clock.monotonic())
-    unreliable = failing | progress.left
+    failing = context.failures.list_failing(context.clock.monotonic())
+    unreliable = failing | progress.excluded
     strict = replace(query, avoid=suspects | unreliable, crosses=False)
     path = choose_path(offered, strict) if unreliable else ()
     path = path or choose_path(offered, query)
-    if path and _may_crash_replicas(parts, exchange, inquiry):
-        return _choose_isolated(offered, strict, inquiry.digest) or path
+    if path and _may_crash_replicas(context, exchange, request):
+        return _choose_isolated(offered, strict, request.digest) or path
     if path or not exchange.started:
         return path
     # A stream that the client has received in part is lost without a path,
     # and a replica that had no free memory a moment ago may have some now.
-    lenient = replace(query, avoid=parts.replicas.list_unreachable())
+    lenient = replace(query, avoid=context.replicas.list_unreachable())
     return choose_path(offered, lenient)
 
 
 def _may_crash_replicas(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> bool:
     """Whether a replica may have crashed under a request.
 
     A client that resumes a stream lost it at another node, which may not have
     reported the crash of a replica yet.
     """
-    resumed = inquiry.terms.last_event is not None and not exchange.sends
-    return resumed or parts.quarantine.is_suspect(inquiry.digest)
+    resumed = request.terms.last_event is not None and not exchange.sends
+    return resumed or context.quarantine.is_suspect(request.digest)
 
 
 def _choose_isolated(
@@ -105,38 +105,44 @@
     return next(filter(None, paths), ())
 
 
-def _list_closed(parts: Parts, inquiry: Inquiry) -> frozenset[str]:
+def _list_closed(
+    context: RelayContext, request: AdmittedRequest
+) -> frozenset[str]:
     """Name the first replicas whose concurrency window is full for a request.
 
     A client that retries after a refusal has less time left than most clients
     of its route, and its answer will be late. Such requests, and those of
     accounts beyond their fair share, leave a part of each window to others.
     """
-    route = inquiry.route
-    timeout = inquiry.terms.deadline or route.timeout
-    longest = max(timeout, parts.longest_timeouts.get(route.name, 0))
-    parts.longest_timeouts[route.name] = longest
+    route = request.route
+    timeout = request.terms.deadline or route.timeout
+    longest = max(timeout, context.longest_timeouts.get(route.name, 0))
+    context.longest_timeouts[route.name] = longest
     late = timeout < longest - route.objective
-    heavy = parts.accounts.is_heavy(inquiry.account)
-    return parts.windows.list_closed(yields=late or heavy)
+    heavy = context.accounts.is_heavy(request.account)
+    return context.windows.list_closed(yields=late or heavy)
 
 
-def misses_layers(parts: Parts, inquiry: Inquiry) -> bool:
+def misses_layers(context: RelayContext, request: AdmittedRequest) -> bool:
     """Whether a request has no path even when load is disregarded."""
-    query = make_query(parts, inquiry, parts.replicas.list_unreachable())
+    query = make_path_query(
+        context, request, context.replicas.list_unreachable()
+    )
     if query is None:
         return True
     unloaded = replace(query, own_tokens={}, load=NO_LOAD)
-    offered = parts.replicas.list_service(inquiry.service)
+    offered = context.replicas.list_service(request.service)
     return not choose_path(offered, unloaded)
 
 
-def list_heads(parts: Parts, inquiry: Inquiry) -> list[Replica]:
+def list_first_replicas(
+    context: RelayContext, request: AdmittedRequest
+) -> list[Replica]:
     """List the reachable replicas that hold the first layers of a model."""
-    lost = parts.replicas.list_unreachable()
+    lost = context.replicas.list_unreachable()
     return [
         replica
-        for replica in parts.replicas.list_service(inquiry.service)
+        for replica in context.replicas.list_service(request.service)
         if replica.layers
         and not replica.layers.first
         and replica.name not in lost
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
@@ -3,9 +3,9 @@
 from ryelatch_core.fleet import Replica
 from ryelatch_core.quarantine import Manner
 from ryelatch_node.relay._errors import SendError, SendErrorKind
-from ryelatch_node.relay._exchange import Exchange, Inquiry
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 
 UNRESPONSIVE = 'silent'
 """Reason of a run that was given up as its replica sent nothing.
@@ -14,8 +14,8 @@
 """
 
 
-async def note_stream_end(
-    parts: Parts,
+async def record_stream_crash(
+    context: RelayContext,
     stream: LiveStream,
     error: SendError,
 ) -> bool:
@@ -27,15 +27,18 @@
 
     :returns: whether the replica crashed just as the stream began there.
     """
-    if not _connection_lost(error) or stream.reason not in {'', HEAD_LOST}:
+    if not _connection_lost(error) or stream.reason not in {
+        '',
+        FIRST_REPLICA_LOST,
+    }:
         return False
-    ran = stream.ran(parts.now())
-    if not await _has_crashed(parts, stream.head) or ran:
+    ran = stream.has_run_long(context.now())
+    if not await _has_crashed(context, stream.first_replica) or ran:
         return False
     manner = Manner.BEGUN if stream.answered else Manner.WAITING
-    parts.quarantine.note_end(
-        stream.inquiry.digest,
-        stream.head.name,
+    context.quarantine.note_end(
+        stream.request.digest,
+        stream.first_replica.name,
         manner,
         stream.exchange.identity,
     )
@@ -43,9 +46,9 @@
 
 
 async def record_non_model_crash(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     error: SendError,
 ) -> None:
@@ -54,9 +57,9 @@
     No part of its answer shows how far the request had come, so it counts as
     begun.
     """
-    if _connection_lost(error) and await _has_crashed(parts, replica):
-        parts.quarantine.note_end(
-            inquiry.digest, replica.name, Manner.BEGUN, exchange.identity
+    if _connection_lost(error) and await _has_crashed(context, replica):
+        context.quarantine.note_end(
+            request.digest, replica.name, Manner.BEGUN, exchange.identity
         )
 
 
@@ -64,13 +67,13 @@
     return error.kind is SendErrorKind.LOST and error.reason != UNRESPONSIVE
 
 
-async def _has_crashed(parts: Parts, replica: Replica) -> bool:
+async def _has_crashed(context: RelayContext, replica: Replica) -> bool:
     """Check whether a replica has crashed, and suspect it if so.
 
     Its entry expires seconds later. Until then each request sent to it costs
     a retry, and requests without a retry left are refused.
     """
-    if not await parts.crash_checks.has_ended(replica):
+    if not await context.crash_checks.has_crashed(replica):
         return False
-    parts.replicas.suspect(replica, 'ended', full=False)
+    context.replicas.suspect(replica, 'ended', full=False)
     return True
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_errors.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_errors.py
@@ -12,7 +12,7 @@
     LOST = 'lost'
     """No complete answer was received; the request may have run."""
 
-    SPOILED = 'spoiled'
+    INVALID = 'spoiled'
     """The response is not a valid answer to the request; it may have run."""
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
@@ -28,12 +28,12 @@
 Other replicas may still load the layers, which takes half a second.
 """
 
-MOST_TRIES = 12
+MAX_TRIES = 12
 """Attempts to move a stream before it is left alone until it stalls."""
 
 
 @dataclass(eq=False)
-class Evacuation:
+class MigrationPlanner:
     """Plans the migration of streams off replicas that stop or release layers.
 
     A leaving replica stops some seconds later, and its streams break. A
@@ -48,14 +48,16 @@
     # When this node first saw each replica leaving, in monotonic seconds.
     _leaving_since: dict[str, float] = field(default_factory=dict)
 
-    def find_due(self, stream: LiveStream, now: float) -> frozenset[str]:
+    def find_replicas_to_leave(
+        self, stream: LiveStream, now: float
+    ) -> frozenset[str]:
         """Name the replicas that a stream should leave now.
 
         An attempt to move the stream is counted if there are any.
         """
-        if not stream.begun or stream.tries >= MOST_TRIES:
+        if not stream.begun or stream.move_attempts >= MAX_TRIES:
             return frozenset()
-        if now - stream.tried < RETRY_SECONDS:
+        if now - stream.last_move_attempt < RETRY_SECONDS:
             return frozenset()
         due = frozenset(
             stage.replica.name
@@ -63,8 +65,8 @@
             if self._is_due(stage, now)
         )
         if due:
-            stream.tried = now
-            stream.tries += 1
+            stream.last_move_attempt = now
+            stream.move_attempts += 1
         return due
 
     def is_leaving(self, replica: Replica) -> bool:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
+class AdmittedRequest:
     """A request of a client that was admitted.
 
     :param target: path and query, byte for byte.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -12,18 +12,22 @@
     ClientLimits,
 )
 from ryelatch_node.relay._admission import (
-    Arrival,
+    ReceivedRequest,
     Refusal,
-    StopState,
+    ShutdownState,
     admit,
 )
-from ryelatch_node.relay._beginning import FirstLists
+from ryelatch_node.relay._beginning import InitialSync
 from ryelatch_node.relay._errors import AnswerBroken, ClientGone
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
+from ryelatch_node.relay._exchange import (
+    AdmittedRequest,
+    Exchange,
+    round_seconds,
+)
 from ryelatch_node.relay._metrics import RelayMetrics
 from ryelatch_node.relay._model import relay_model
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._plain import relay_plain
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._plain import relay_non_model
 from ryelatch_node.relay._watch import StreamWatch
 
 _REQUEST_TIMEOUT = 408
@@ -45,16 +49,16 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: RelayContext,
         watch: StreamWatch,
         metrics: RelayMetrics,
     ) -> None:
-        self.stop_state = StopState()
+        self.stop_state = ShutdownState()
         self.open_requests = 0
-        self._parts = parts
+        self._context = context
         self._watch = watch
         self._metrics = metrics
-        self._first_lists = FirstLists(parts)
+        self._first_lists = InitialSync(context)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request, and log an exception that it raises."""
@@ -65,7 +69,7 @@
             # The HTTP server responds with 500, or closes the connection if
             # the response has started. Its own log is off, so the cause
             # would be lost without this line.
-            self._parts.log.record(
+            self._context.log.record(
                 catalogue.EXCHANGE_CRASHED, trace=traceback.format_exc()
             )
             raise
@@ -73,14 +77,14 @@
             self.open_requests -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        parts = self._parts
-        arrived = parts.clock.monotonic()
-        terms = parts.wire.read_request(scope['headers'])
+        context = self._context
+        arrived = context.clock.monotonic()
+        terms = context.wire.read_request(scope['headers'])
         exchange = Exchange(
             terms.identity,
             send,
-            parts.log,
-            parts.clock,
+            context.log,
+            context.clock,
             self.stop_state.closing,
         )
         try:
@@ -94,21 +98,19 @@
             # Nothing was sent to an upstream, so a client may safely repeat
             # the request, as a 408 permits.
             exchange.closing = True
-            await exchange.refuse(
-                _REQUEST_TIMEOUT, 'the request body timed out'
-            )
+            await exchange.refuse(_REQUEST_TIMEOUT, 'the body stands still')
             return
         await self._first_lists.wait()
-        arrival = Arrival(scope, terms, body, arrived)
-        inquiry = admit(parts, self.stop_state, arrival)
-        if isinstance(inquiry, Refusal):
-            await self._refuse(exchange, inquiry)
+        received = ReceivedRequest(scope, terms, body, arrived)
+        request = admit(context, self.stop_state, received)
+        if isinstance(request, Refusal):
+            await self._refuse(exchange, request)
             return
-        await self._relay(exchange, inquiry, receive)
-        self._log_completion(exchange, inquiry)
+        await self._relay(exchange, request, receive)
+        self._log_completion(exchange, request)
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
-        configuration = self._parts.configuration
+        configuration = self._context.configuration
         await exchange.refuse(
             refusal.status,
             refusal.reason,
@@ -120,7 +122,7 @@
         )
 
     async def _read_body(self, receive: Receive) -> bytes:
-        table = self._parts.configuration.table
+        table = self._context.configuration.table
         limits = table.configuration.limits if table else ClientLimits()
         chunks: list[bytes] = []
         size = 0
@@ -139,12 +141,12 @@
     async def _relay(
         self,
         exchange: Exchange,
-        inquiry: Inquiry,
+        request: AdmittedRequest,
         receive: Receive,
     ) -> None:
         """Relay a request until it is complete or its client disconnects."""
         relaying = asyncio.create_task(
-            self._relay_until_deadline(exchange, inquiry)
+            self._relay_until_deadline(exchange, request)
         )
         disconnect = asyncio.create_task(_wait_for_disconnect(receive))
         await asyncio.wait(
@@ -159,15 +161,15 @@
             await relaying
 
     async def _relay_until_deadline(
-        self, exchange: Exchange, inquiry: Inquiry
+        self, exchange: Exchange, request: AdmittedRequest
     ) -> None:
         """Relay a request, and stop it at its deadline."""
-        self._parts.budget.earn()
+        self._context.budget.earn()
         loop = asyncio.get_running_loop()
-        remaining = inquiry.ends - self._parts.clock.monotonic()
+        remaining = request.ends - self._context.clock.monotonic()
         try:
             async with asyncio.timeout_at(loop.time() + remaining):
-                await self._dispatch(exchange, inquiry)
+                await self._dispatch(exchange, request)
         except TimeoutError:
             if not exchange.started:
                 await self._refuse_late(exchange)
@@ -184,32 +186,36 @@
                 _UNAVAILABLE, 'the time is over', retry_after=0
             )
 
-    async def _dispatch(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        table = self._parts.configuration.table
-        terms = table and table.configuration.services.get(inquiry.service)
+    async def _dispatch(
+        self, exchange: Exchange, request: AdmittedRequest
+    ) -> None:
+        table = self._context.configuration.table
+        terms = table and table.configuration.services.get(request.service)
         if terms and terms.model is not None:
-            await relay_model(self._parts, self._watch, exchange, inquiry)
+            await relay_model(self._context, self._watch, exchange, request)
         else:
-            await relay_plain(self._parts, exchange, inquiry)
+            await relay_non_model(self._context, exchange, request)
 
-    def _log_completion(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        seconds = self._parts.clock.monotonic() - inquiry.arrived
+    def _log_completion(
+        self, exchange: Exchange, request: AdmittedRequest
+    ) -> None:
+        seconds = self._context.clock.monotonic() - request.arrived
         if exchange.left:
             kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
         elif exchange.ended:
             kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
             kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
-        self._metrics.record_request(inquiry.route.streaming, outcome, seconds)
+        self._metrics.record_request(request.route.streaming, outcome, seconds)
         exchange.record(
             kind,
-            route=inquiry.route.name,
-            account=inquiry.account,
+            route=request.route.name,
+            account=request.account,
             status=exchange.status,
             seconds=round_seconds(seconds),
             sends=exchange.sends,
             pause=round_seconds(exchange.pause),
-            version=inquiry.version,
+            version=request.version,
             **exchange.detail,
         )
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -10,25 +10,29 @@
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._choice import (
     choose_request_path,
-    list_heads,
+    list_first_replicas,
     misses_layers,
 )
-from ryelatch_node.relay._ends import note_stream_end
+from ryelatch_node.relay._ends import record_stream_crash
 from ryelatch_node.relay._errors import (
     AnswerBroken,
     SendError,
     SendErrorKind,
 )
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._permits import find_return, take_permit
+from ryelatch_node.relay._exchange import (
+    AdmittedRequest,
+    Exchange,
+    round_seconds,
+)
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
     Progress,
     handle_refusal,
-    note_progress,
     record_failure,
     record_outcome,
+    record_progress,
 )
 from ryelatch_node.relay._stream import LiveStream
 from ryelatch_node.relay._upstream import Answer
@@ -61,32 +65,32 @@
 
 
 async def relay_model(
-    parts: Parts,
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
     """Send a request along paths until one returns the complete answer.
 
     :raises AnswerBroken: if the answer has started and can't be completed.
     """
-    progress = Progress(EventCutter(inquiry.terms.last_event))
-    while _may_send(parts, exchange, inquiry, progress):
-        path = await _find_path(parts, exchange, inquiry, progress)
+    progress = Progress(EventCutter(request.terms.last_event))
+    while _may_send(context, exchange, request, progress):
+        path = await _find_path(context, exchange, request, progress)
         if not path:
             break
         result = await _attempt_path(
-            parts, watch, exchange, inquiry, path, progress
+            context, watch, exchange, request, path, progress
         )
         if result is _AttemptResult.DONE:
             return
-    await _give_up(parts, exchange, inquiry, progress)
+    await _give_up(context, exchange, request, progress)
 
 
 async def _find_path(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
     """Choose a path, and take a permit for its first replica if it is limited.
@@ -96,74 +100,74 @@
     :returns: the stages of the path; empty if there is no path.
     """
     while True:
-        path = choose_request_path(parts, exchange, inquiry, progress)
-        if not path or await take_permit(parts, exchange, path[0].replica):
+        path = choose_request_path(context, exchange, request, progress)
+        if not path or await acquire_permit(context, exchange, path[0].replica):
             return path
 
 
 def _may_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> bool:
     if not exchange.sends:
         return True
     if exchange.sends >= MAX_SENDS:
         return False
-    if exchange.ran >= inquiry.route.max_attempts:
+    if exchange.ran >= request.route.max_attempts:
         return False
-    if progress.may_have_run and not inquiry.repeatable:
+    if progress.may_have_run and not request.repeatable:
         return False
     if progress.crashes >= MOST_ENDS:
         return False
-    if parts.quarantine.find_refused(inquiry.digest):
+    if context.quarantine.find_refused(request.digest):
         return False
-    return parts.budget.spend()
+    return context.budget.spend()
 
 
 async def _attempt_path(
-    parts: Parts,
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> _AttemptResult:
-    tokens = inquiry.terms.prompt + inquiry.terms.answer // 2
+    tokens = request.terms.prompt + request.terms.answer // 2
     exchange.sends += 1
-    _log_send(parts, exchange, inquiry, path, progress)
+    _log_send(context, exchange, request, path, progress)
     scope = asyncio.timeout(None)
-    now = parts.clock.monotonic()
-    stream = LiveStream(exchange, inquiry, path, now, now, tokens, scope)
-    parts.load.add(path, tokens, now)
-    parts.windows.add(stream.head.name)
-    parts.accounts.add(inquiry.account)
-    parts.returns.note_start(now)
+    now = context.clock.monotonic()
+    stream = LiveStream(exchange, request, path, now, now, tokens, scope)
+    context.load.add(path, tokens, now)
+    context.windows.add(stream.first_replica.name)
+    context.accounts.add(request.account)
+    context.returns.note_start(now)
     watch.streams.add(stream)
     try:
         async with scope:
-            return await _run(parts, watch.prober, stream, progress)
+            return await _run(context, watch.prober, stream, progress)
     except TimeoutError:
         interrupted = SendError(SendErrorKind.LOST, stream.reason)
-        await _record_loss(parts, stream, progress, interrupted)
+        await _record_loss(context, stream, progress, interrupted)
     except SendError as error:
-        await _record_loss(parts, stream, progress, error)
+        await _record_loss(context, stream, progress, error)
     except StreamError as error:
         record_failure(
-            parts, stream, progress, SendErrorKind.SPOILED, str(error)
+            context, stream, progress, SendErrorKind.INVALID, str(error)
         )
     finally:
-        stream.over = True
+        stream.finished = True
         watch.streams.discard(stream)
-        parts.windows.remove(stream.head.name)
-        parts.accounts.remove(inquiry.account)
-        parts.load.remove(stream.path, tokens, parts.clock.monotonic())
+        context.windows.remove(stream.first_replica.name)
+        context.accounts.remove(request.account)
+        context.load.remove(stream.path, tokens, context.clock.monotonic())
     return _AttemptResult.AGAIN
 
 
 async def _record_loss(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     progress: Progress,
     error: SendError,
@@ -174,16 +178,16 @@
     it may have caused the crash, and then each attempt crashes one more
     replica.
     """
-    record_failure(parts, stream, progress, error.kind, error.reason)
-    if await note_stream_end(parts, stream, error):
+    record_failure(context, stream, progress, error.kind, error.reason)
+    if await record_stream_crash(context, stream, error):
         progress.crashes += 1
         stream.exchange.ran += stream.answered
 
 
 def _log_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> None:
@@ -196,16 +200,16 @@
             [stage.replica.name, stage.layers.first, stage.layers.end]
             for stage in path
         ],
-        service=inquiry.service,
-        digest=inquiry.digest,
+        service=request.service,
+        digest=request.digest,
         attempt=exchange.sends,
-        left=round_seconds(inquiry.ends - parts.clock.monotonic()),
-        version=inquiry.version,
+        left=round_seconds(request.ends - context.clock.monotonic()),
+        version=request.version,
         last_event=progress.cutter.last,
-        avoided=len(parts.replicas.list_suspects()),
-        list_age=round_seconds(parts.replicas.known.age),
+        avoided=len(context.replicas.list_suspects()),
+        list_age=round_seconds(context.replicas.known.age),
         missing=round_seconds(
-            parts.replicas.find_missing(
+            context.replicas.find_missing(
                 path_stage.replica.name for path_stage in path
             )
         ),
@@ -213,61 +217,61 @@
 
 
 async def _run(
-    parts: Parts,
+    context: RelayContext,
     prober: Prober,
     stream: LiveStream,
     progress: Progress,
 ) -> _AttemptResult:
-    inquiry = stream.inquiry
+    request = stream.request
     dispatch = Dispatch(
-        stream.head.entry,
-        inquiry.ends - parts.clock.monotonic(),
-        inquiry.account,
+        stream.first_replica.entry,
+        request.ends - context.clock.monotonic(),
+        request.account,
         stream.path,
         progress.cutter.last,
     )
-    async with parts.upstreams.send(
-        stream.head,
-        inquiry.method,
-        inquiry.target,
-        parts.wire.write_request(inquiry.headers, dispatch),
-        inquiry.body,
-        identity=inquiry.terms.identity,
-        repeatable=inquiry.repeatable,
+    async with context.upstreams.send(
+        stream.first_replica,
+        request.method,
+        request.target,
+        context.wire.write_request(request.headers, dispatch),
+        request.body,
+        identity=request.terms.identity,
+        repeatable=request.repeatable,
     ) as answer:
         stream.answered = True
         if answer.terms.not_run:
-            handle_refusal(parts, prober, stream, answer)
+            handle_refusal(context, prober, stream, answer)
             return _AttemptResult.AGAIN
         if not answer.terms.signed:
-            raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
+            raise SendError(SendErrorKind.INVALID, 'unsigned answer')
         if answer.status != _OK:
-            return await _handle_failure(parts, stream, answer, progress)
-        return await _forward_events(parts, stream, answer, progress)
+            return await _handle_failure(context, stream, answer, progress)
+        return await _forward_events(context, stream, answer, progress)
 
 
 async def _handle_failure(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
 ) -> _AttemptResult:
     """Keep an error response of a replica, or pass it on to the client."""
     body = await answer.read()
-    parts.quarantine.note_run(stream.inquiry.digest)
+    context.quarantine.note_run(stream.request.digest)
     stream.exchange.ran += 1
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
-        replica=stream.head.name,
+        replica=stream.first_replica.name,
         status=answer.status,
         outcome='failed',
     )
     failed = answer.status >= _SERVER_ERROR
-    record_outcome(parts, stream, failed=failed)
-    if failed and stream.inquiry.repeatable:
+    record_outcome(context, stream, failed=failed)
+    if failed and stream.request.repeatable:
         # A replica that fails at once looks fast and has free capacity, so
         # the next attempt would choose it again.
-        progress.left.add(stream.head.name)
+        progress.excluded.add(stream.first_replica.name)
         progress.failure_answer = (answer, body)
         return _AttemptResult.AGAIN
     if stream.exchange.started:
@@ -277,7 +281,7 @@
 
 
 async def _forward_events(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
@@ -289,7 +293,7 @@
         events = cutter.cut(chunk)
         if not events:
             continue
-        note_progress(parts, stream)
+        record_progress(context, stream)
         if not exchange.started:
             await exchange.start(answer.status, _strip_length(answer))
         await exchange.write(events)
@@ -298,9 +302,9 @@
     if not exchange.started:
         await exchange.start(answer.status, _strip_length(answer))
     await exchange.write(b'', more=False)
-    parts.replicas.trust(stream.head)
-    parts.quarantine.note_run(stream.inquiry.digest)
-    record_outcome(parts, stream, failed=False)
+    context.replicas.trust(stream.first_replica)
+    context.quarantine.note_run(stream.request.digest)
+    record_outcome(context, stream, failed=False)
     return _AttemptResult.DONE
 
 
@@ -310,9 +314,9 @@
 
 
 async def _give_up(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> None:
     if exchange.started:
@@ -323,28 +327,34 @@
     elif progress.may_have_run:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost')
     else:
-        await _refuse(parts, exchange, inquiry)
+        await _refuse(context, exchange, request)
 
 
 async def _refuse(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
     """Refuse a request that did not run, and say when to retry."""
-    missing = misses_layers(parts, inquiry)
-    wait = REPAIR_SECONDS if missing else _estimate_retry_after(parts, inquiry)
+    missing = misses_layers(context, request)
+    wait = (
+        REPAIR_SECONDS if missing else _estimate_retry_after(context, request)
+    )
     await exchange.refuse(
         _UNAVAILABLE,
         'layers are missing' if missing else 'all paths are full',
         retry_after=wait,
-        open=len(parts.windows.requests),
-        full=len(parts.windows.list_closed()),
+        open=len(context.windows.requests),
+        full=len(context.windows.list_closed()),
     )
 
 
-def _estimate_retry_after(parts: Parts, inquiry: Inquiry) -> float:
+def _estimate_retry_after(
+    context: RelayContext, request: AdmittedRequest
+) -> float:
     """Estimate after how many seconds a refused client should retry."""
-    now = parts.clock.monotonic()
-    delay = parts.returns.give_turn(now, inquiry.ends - now, parts.draw())
-    return max(delay, find_return(parts, list_heads(parts, inquiry)))
+    now = context.clock.monotonic()
+    delay = context.returns.give_turn(now, request.ends - now, context.draw())
+    return max(
+        delay, find_retry_after(context, list_first_replicas(context, request))
+    )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
@@ -6,9 +6,9 @@
 from ryelatch_core.fleet import Stage, choose_path
 from ryelatch_node.ports import MoveAnswer, OrderResult
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._query import make_query
+from ryelatch_node.relay._query import make_path_query
 from ryelatch_node.relay._stream import LiveStream
 
 MOVE_TRIES = 3
@@ -19,10 +19,10 @@
 
 
 @dataclass(frozen=True)
-class Mover:
+class StreamMigrator:
     """Commands the first replica of a stream to use another path."""
 
-    parts: Parts
+    context: RelayContext
     prober: Prober
 
     async def move(
@@ -59,11 +59,13 @@
         path: tuple[Stage, ...],
         lost: frozenset[str],
     ) -> MoveAnswer:
-        identity = stream.inquiry.terms.identity
-        pause = self.parts.clock.monotonic() - stream.progress
-        if not await self.parts.throttle.take(stream.head):
+        identity = stream.request.terms.identity
+        pause = self.context.clock.monotonic() - stream.progress
+        if not await self.context.throttle.take(stream.first_replica):
             return MoveAnswer(OrderResult.REFUSED)
-        moved = await self.parts.orders.move(stream.head, identity, path)
+        moved = await self.context.orders.move(
+            stream.first_replica, identity, path
+        )
         stream.exchange.record(
             catalogue.STREAM_MOVED,
             avoiding=sorted(lost),
@@ -72,9 +74,9 @@
             pause=round_seconds(pause),
         )
         if moved.result in {OrderResult.BEGUN, OrderResult.HELD}:
-            now = self.parts.clock.monotonic()
-            self.parts.load.remove(stream.path, stream.tokens, now)
-            self.parts.load.add(path, stream.tokens, now)
+            now = self.context.clock.monotonic()
+            self.context.load.remove(stream.path, stream.tokens, now)
+            self.context.load.add(path, stream.tokens, now)
             stream.path = path
             stream.progress = now
         return moved
@@ -88,8 +90,8 @@
         """Suspect the replica that a refused move command names."""
         for stage in path:
             replica = stage.replica
-            if replica.address == address and replica != stream.head:
-                self.parts.replicas.suspect(replica, 'no room', full=True)
+            if replica.address == address and replica != stream.first_replica:
+                self.context.replicas.suspect(replica, 'no room', full=True)
                 self.prober.check(replica)
 
     def _choose_path(
@@ -99,9 +101,9 @@
         *,
         crosses: bool,
     ) -> tuple[Stage, ...]:
-        inquiry = stream.inquiry
-        query = make_query(
-            self.parts, inquiry, lost | self.parts.replicas.list_suspects()
+        request = stream.request
+        query = make_path_query(
+            self.context, request, lost | self.context.replicas.list_suspects()
         )
         if query is None:
             return ()
@@ -113,7 +115,7 @@
         # releases those layers, though the registry lists them no more.
         offered = [
             replica
-            for replica in self.parts.replicas.list_service(inquiry.service)
-            if replica.name != stream.head.name
+            for replica in self.context.replicas.list_service(request.service)
+            if replica.name != stream.first_replica.name
         ]
-        return choose_path([*offered, stream.head], fixed)
+        return choose_path([*offered, stream.first_replica], fixed)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -17,14 +17,14 @@
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.ports import Orders, RelayStartup, Wire
 from ryelatch_node.quarantine import Quarantine
-from ryelatch_node.relay._reach import EndChecks
+from ryelatch_node.relay._reach import CrashChecks
 from ryelatch_node.relay._slow_replicas import SlowReplicaChecks
 from ryelatch_node.relay._upstream import Upstreams
 from ryelatch_node.throttle import Throttle
 
 
 @dataclass
-class Parts:
+class RelayContext:
     """Services that the relay uses, and state that it keeps itself.
 
     :param longest_timeouts: longest time for which a client of a route was
@@ -45,7 +45,7 @@
     throttle: Throttle
     costs: CostBook = field(default_factory=CostBook)
     load: LoadBook = field(default_factory=LoadBook)
-    crash_checks: EndChecks = field(init=False)
+    crash_checks: CrashChecks = field(init=False)
     paces: SlowReplicaChecks = field(init=False)
     windows: Windows = field(init=False)
     accounts: AccountBook = field(default_factory=AccountBook)
@@ -56,7 +56,7 @@
 
     def __post_init__(self) -> None:
         """Create the members that depend on others."""
-        self.crash_checks = EndChecks(self.orders)
+        self.crash_checks = CrashChecks(self.orders)
         self.paces = SlowReplicaChecks(
             self.log, self.clock, self.orders, self.throttle.is_throttled
         )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -5,14 +5,14 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_node.relay._exchange import Exchange
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 
 RETRY_JITTER = 0.3
 """Fraction of a wait by which the times of clients' retries are spread."""
 
 
-async def take_permit(
-    parts: Parts,
+async def acquire_permit(
+    context: RelayContext,
     exchange: Exchange,
     replica: Replica,
 ) -> bool:
@@ -21,16 +21,18 @@
     :returns: whether the request may be sent; otherwise the caller chooses
         another replica.
     """
-    if not parts.throttle.is_throttled(replica.name):
+    if not context.throttle.is_throttled(replica.name):
         return True
-    if await parts.throttle.take(replica):
+    if await context.throttle.take(replica):
         # The replica may have left while the permit was requested.
-        return parts.replicas.offers(replica)
+        return context.replicas.offers(replica)
     exchange.record(catalogue.PERMIT_DENIED, replica=replica.name)
     return False
 
 
-def find_return(parts: Parts, replicas: Iterable[Replica]) -> float:
+def find_retry_after(
+    context: RelayContext, replicas: Iterable[Replica]
+) -> float:
     """Find after how long a refused client should retry.
 
     That is when the first of some replicas accepts requests again. Jitter is
@@ -38,5 +40,5 @@
 
     :returns: seconds; 0 if a replica accepts requests now.
     """
-    wait = parts.throttle.find_wait(replica.name for replica in replicas)
-    return wait * (1 + RETRY_JITTER * parts.draw())
+    wait = context.throttle.find_wait(replica.name for replica in replicas)
+    return wait * (1 + RETRY_JITTER * context.draw())
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -8,9 +8,13 @@
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._ends import UNRESPONSIVE, record_non_model_crash
 from ryelatch_node.relay._errors import SendError, SendErrorKind
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._permits import find_return, take_permit
+from ryelatch_node.relay._exchange import (
+    AdmittedRequest,
+    Exchange,
+    round_seconds,
+)
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._upstream import Answer
 
 ATTEMPT_FRACTION = 0.5
@@ -53,47 +57,47 @@
     lost: bool = False
 
 
-async def relay_plain(
-    parts: Parts, exchange: Exchange, inquiry: Inquiry
+async def relay_non_model(
+    context: RelayContext, exchange: Exchange, request: AdmittedRequest
 ) -> None:
     """Send a request to replicas until one answers, and relay its answer."""
     attempts = _Attempts()
     while True:
-        replica = await _find_replica(parts, exchange, inquiry, attempts)
-        if replica is None or not _may_send(parts, exchange, inquiry):
+        replica = await _find_replica(context, exchange, request, attempts)
+        if replica is None or not _may_send(context, exchange, request):
             break
         attempts.names.add(replica.name)
-        await _run_attempt(parts, exchange, inquiry, replica, attempts)
-        if _is_final(attempts, repeatable=inquiry.repeatable):
+        await _run_attempt(context, exchange, request, replica, attempts)
+        if _is_final(attempts, repeatable=request.repeatable):
             break
-    await _finish(parts, exchange, inquiry, attempts)
+    await _finish(context, exchange, request, attempts)
 
 
 async def _find_replica(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     attempts: _Attempts,
 ) -> Replica | None:
     """Choose a replica, with a permit if it needs one."""
     while True:
-        replica = _choose(parts, inquiry, attempts.names)
-        if replica is None or await take_permit(parts, exchange, replica):
+        replica = _choose(context, request, attempts.names)
+        if replica is None or await acquire_permit(context, exchange, replica):
             return replica
 
 
 async def _run_attempt(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     attempts: _Attempts,
 ) -> None:
     try:
-        received = await _try_replica(parts, exchange, inquiry, replica)
+        received = await _try_replica(context, exchange, request, replica)
     except SendError as error:
-        _record_failure(parts, exchange, replica, error)
-        await record_non_model_crash(parts, exchange, inquiry, replica, error)
+        _record_failure(context, exchange, replica, error)
+        await record_non_model_crash(context, exchange, request, replica, error)
         attempts.lost = attempts.lost or error.kind is not SendErrorKind.UNSENT
         return
     attempts.received = received or attempts.received
@@ -110,9 +114,9 @@
 
 
 async def _finish(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     attempts: _Attempts,
 ) -> None:
     tried = len(attempts.names)
@@ -124,18 +128,20 @@
     elif attempts.lost:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost', tried=tried)
     else:
-        offered = parts.replicas.list_service(inquiry.service)
+        offered = context.replicas.list_service(request.service)
         await exchange.refuse(
             _UNAVAILABLE,
             'no upstream has room',
-            retry_after=max(RETRY_AFTER_SECONDS, find_return(parts, offered)),
+            retry_after=max(
+                RETRY_AFTER_SECONDS, find_retry_after(context, offered)
+            ),
             tried=tried,
         )
 
 
 def _choose(
-    parts: Parts,
-    inquiry: Inquiry,
+    context: RelayContext,
+    request: AdmittedRequest,
     tried: set[str],
 ) -> Replica | None:
     """Choose the replica with the fewest requests of this node per slot.
@@ -143,41 +149,43 @@
     Replicas that fail many requests, and then suspected ones, are used only if
     there are no others.
     """
-    offered = parts.replicas.list_service(inquiry.service)
-    avoided = parts.replicas.list_suspects()
-    excluded = tried | parts.throttle.list_closed()
+    offered = context.replicas.list_service(request.service)
+    avoided = context.replicas.list_suspects()
+    excluded = tried | context.throttle.list_closed()
     usable = [replica for replica in offered if replica.name not in excluded]
     trusted = [replica for replica in usable if replica.name not in avoided]
-    now = parts.now()
-    failing = parts.failures.list_failing(now)
+    now = context.now()
+    failing = context.failures.list_failing(now)
     reliable = [replica for replica in trusted if replica.name not in failing]
-    loads = parts.load.requests
+    loads = context.load.requests
     return min(
         reliable or trusted or usable,
         key=lambda replica: (
             loads[replica.name] / replica.slots,
-            parts.durations.rank(replica.name, now),
-            replica.zone != parts.startup.zone,
-            parts.draw(),
+            context.durations.rank(replica.name, now),
+            replica.zone != context.startup.zone,
+            context.draw(),
         ),
         default=None,
     )
 
 
-def _may_send(parts: Parts, exchange: Exchange, inquiry: Inquiry) -> bool:
-    if exchange.ran >= inquiry.route.max_attempts:
+def _may_send(
+    context: RelayContext, exchange: Exchange, request: AdmittedRequest
+) -> bool:
+    if exchange.ran >= request.route.max_attempts:
         return False
-    if parts.quarantine.find_refused(inquiry.digest):
+    if context.quarantine.find_refused(request.digest):
         return False
     if not exchange.sends:
         return True
-    return parts.clock.monotonic() < inquiry.ends and parts.budget.spend()
+    return context.clock.monotonic() < request.ends and context.budget.spend()
 
 
 async def _try_replica(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
 ) -> _ReceivedAnswer | None:
     """Send the request to a replica, within its part of the time left.
@@ -185,29 +193,29 @@
     :returns: its answer; nothing if the replica refused the request unrun.
     :raises SendError: if no usable answer came.
     """
-    now = parts.clock.monotonic()
-    left = inquiry.ends - now
-    dispatch = Dispatch(replica.entry, left, inquiry.account)
+    now = context.clock.monotonic()
+    left = request.ends - now
+    dispatch = Dispatch(replica.entry, left, request.account)
     exchange.sends += 1
     exchange.record(
         catalogue.EXCHANGE_SENT,
         replica=replica.name,
-        service=inquiry.service,
-        digest=inquiry.digest,
+        service=request.service,
+        digest=request.digest,
         attempt=exchange.sends,
         left=round_seconds(left),
-        version=inquiry.version,
-        load=parts.load.requests[replica.name],
-        list_age=round_seconds(parts.replicas.known.age),
-        missing=round_seconds(parts.replicas.find_missing((replica.name,))),
+        version=request.version,
+        load=context.load.requests[replica.name],
+        list_age=round_seconds(context.replicas.known.age),
+        missing=round_seconds(context.replicas.find_missing((replica.name,))),
     )
     last = (
-        not inquiry.repeatable or exchange.sends >= inquiry.route.max_attempts
+        not request.repeatable or exchange.sends >= request.route.max_attempts
     )
-    parts.load.requests[replica.name] += 1
+    context.load.requests[replica.name] += 1
     try:
         async with asyncio.timeout(left if last else left * ATTEMPT_FRACTION):
-            return await _send(parts, exchange, inquiry, replica, dispatch)
+            return await _send(context, exchange, request, replica, dispatch)
     except TimeoutError as error:
         exchange.ran += 1
         raise SendError(SendErrorKind.LOST, UNRESPONSIVE) from error
@@ -215,31 +223,31 @@
         exchange.ran += error.kind is not SendErrorKind.UNSENT
         raise
     finally:
-        parts.load.requests[replica.name] -= 1
-        finished = parts.now()
-        parts.durations.note(replica.name, finished - now, finished)
+        context.load.requests[replica.name] -= 1
+        finished = context.now()
+        context.durations.note(replica.name, finished - now, finished)
 
 
 async def _send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     dispatch: Dispatch,
 ) -> _ReceivedAnswer | None:
-    async with parts.upstreams.send(
+    async with context.upstreams.send(
         replica,
-        inquiry.method,
-        inquiry.target,
-        parts.wire.write_request(inquiry.headers, dispatch),
-        inquiry.body or None,
-        identity=inquiry.terms.identity,
-        repeatable=inquiry.repeatable,
+        request.method,
+        request.target,
+        context.wire.write_request(request.headers, dispatch),
+        request.body or None,
+        identity=request.terms.identity,
+        repeatable=request.repeatable,
     ) as answer:
         if answer.terms.not_run:
-            parts.replicas.suspect(replica, 'refused', full=True)
+            context.replicas.suspect(replica, 'refused', full=True)
             if answer.terms.entry not in {'', replica.entry}:
-                parts.replicas.end(replica)
+                context.replicas.end(replica)
             exchange.record(
                 catalogue.EXCHANGE_FAILED,
                 replica=replica.name,
@@ -249,23 +257,23 @@
             return None
         body = await answer.read()
         if not answer.terms.signed:
-            raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
+            raise SendError(SendErrorKind.INVALID, 'unsigned answer')
     exchange.ran += 1
-    parts.quarantine.note_run(inquiry.digest)
+    context.quarantine.note_run(request.digest)
     failed = answer.status >= _SERVER_ERROR
-    parts.failures.note(
+    context.failures.note(
         replica.name,
-        inquiry.route.name,
-        parts.clock.monotonic(),
+        request.route.name,
+        context.clock.monotonic(),
         failed=failed,
     )
     if not failed:
-        parts.replicas.trust(replica)
+        context.replicas.trust(replica)
     return _ReceivedAnswer(answer, body)
 
 
 def _record_failure(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
     replica: Replica,
     error: SendError,
@@ -277,6 +285,6 @@
         outcome=error.kind.value,
     )
     if error.kind is SendErrorKind.UNSENT:
-        parts.replicas.suspect(replica, error.reason, full=False)
+        context.replicas.suspect(replica, error.reason, full=False)
     elif error.reason == UNRESPONSIVE:
-        parts.replicas.suspect(replica, error.reason, full=True)
+        context.replicas.suspect(replica, error.reason, full=True)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Report
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.tasks import Tasks
 
 REPORT_TIMEOUT_SECONDS = 0.4
@@ -36,13 +36,13 @@
     layers be loaded elsewhere. A report distinguishes them in milliseconds.
     """
 
-    parts: Parts
+    context: RelayContext
     _checked_at: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
 
     def __post_init__(self) -> None:
         """Create the group of the running checks."""
-        self._tasks = Tasks(self.parts.log, 'probe')
+        self._tasks = Tasks(self.context.log, 'probe')
 
     async def stop(self) -> None:
         """Cancel the running checks."""
@@ -53,9 +53,9 @@
 
         A throttled replica has announced that it takes few or no requests.
         """
-        if self.parts.throttle.is_throttled(replica.name):
+        if self.context.throttle.is_throttled(replica.name):
             return
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         if (
             now - self._checked_at.get(replica.name, float('-inf'))
             < COOLDOWN_SECONDS
@@ -68,12 +68,12 @@
         for _ in range(MAX_FAILED_REPORTS):
             if await self._sends_report(replica):
                 return
-        self.parts.replicas.suspect(replica, 'no report', full=False)
+        self.context.replicas.suspect(replica, 'no report', full=False)
 
     async def _sends_report(self, replica: Replica) -> bool:
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_SECONDS):
-                report = await self.parts.orders.read_report(replica)
+                report = await self.context.orders.read_report(replica)
         except TimeoutError:
             return False
         if report is None:
@@ -90,4 +90,4 @@
         """
         if report.holding is not None and not report.busy:
             holding = report.holding
-            self.parts.replicas.learn(replica, holding.layers, holding.born)
+            self.context.replicas.learn(replica, holding.layers, holding.born)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(eq=False)
-class EndChecks:
+class CrashChecks:
     """Connects to replicas whose connections were lost.
 
     All requests that were lost with a replica share one check; otherwise
@@ -23,7 +23,7 @@
     orders: Orders
     _checks: dict[str, 'asyncio.Future[Reach]'] = field(default_factory=dict)
 
-    async def has_ended(self, replica: Replica) -> bool:
+    async def has_crashed(self, replica: Replica) -> bool:
         """Check whether a replica's address refuses connections."""
         check = self._checks.get(replica.name)
         if check is None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -19,13 +19,13 @@
 from ryelatch_node.listener import BACKLOG, bind_listener
 from ryelatch_node.ports import Address, SettingsChanged
 from ryelatch_node.relay._budget import (
-    UNCOUNTED_NODES,
-    RetryTerms,
-    share_budget,
+    NODES_BEFORE_COUNT,
+    RetryAllowance,
+    resize_budget,
 )
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
@@ -68,23 +68,23 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: RelayContext,
         ingress: Ingress,
         metrics: RelayMetrics,
         listener: socket.socket | None = None,
     ) -> None:
         self._listener = listener
-        self._parts = parts
+        self._context = context
         self._ingress = ingress
         self._relay_metrics = metrics
         self._server: uvicorn.Server | None = None
         self._config: uvicorn.Config | None = None
-        self._nodes = UNCOUNTED_NODES
+        self._nodes = NODES_BEFORE_COUNT
         self._sockets: list[socket.socket] = []
         # Replaced by the bound addresses: the system chooses a port for 0.
-        self.front = parts.startup.front
-        self.readiness = parts.startup.readiness
-        self.metrics = parts.startup.metrics
+        self.front = context.startup.front
+        self.readiness = context.startup.readiness
+        self.metrics = context.startup.metrics
         self._internal_app = Starlette(
             routes=[
                 Route('/readyz', self._serve_readiness),
@@ -95,13 +95,13 @@
     @property
     def ready(self) -> bool:
         """Whether new clients should be sent here."""
-        parts = self._parts
+        context = self._context
         if (
             self._ingress.stop_state.closing
-            or parts.configuration.table is None
+            or context.configuration.table is None
         ):
             return False
-        return parts.replicas.listed and parts.configuration.allows_keys()
+        return context.replicas.listed and context.configuration.allows_keys()
 
     async def start(self) -> None:
         """Bind the addresses and start to serve."""
@@ -118,7 +118,7 @@
             backlog=BACKLOG,
         )
         config.load()
-        startup = self._parts.startup
+        startup = self._context.startup
         self._sockets = [
             self._listener or bind_listener(*startup.front),
             bind_listener(*startup.readiness),
@@ -149,14 +149,14 @@
         :param nodes: number of nodes.
         """
         self._nodes = nodes
-        self._parts.load.share_among(nodes)
+        self._context.load.share_among(nodes)
         self._apply_budget()
 
     def apply_settings(self, changed: SettingsChanged) -> None:
         """Apply settings that changed while this process runs."""
-        self._parts.startup = changed.startup
-        self._parts.configuration.set_bound(changed.startup.revoke_seconds)
-        self._parts.replicas.known.terms = reckon_terms(
+        self._context.startup = changed.startup
+        self._context.configuration.set_bound(changed.startup.revoke_seconds)
+        self._context.replicas.known.terms = reckon_terms(
             changed.startup.drain_seconds, changed.startup.steady_seconds
         )
         self._apply_budget()
@@ -169,10 +169,10 @@
         announces that the connection closes.
         """
         self._ingress.stop_state.closing = True
-        self._parts.log.record(catalogue.NODE_DRAINING)
+        self._context.log.record(catalogue.NODE_DRAINING)
         loop = asyncio.get_running_loop()
         started = loop.time()
-        grace = self._parts.startup.grace
+        grace = self._context.startup.grace
         last_call = max(
             grace / 2, grace - MARGIN_SECONDS - PLAIN_ANSWER_SECONDS
         )
@@ -211,20 +211,20 @@
         return BoundedProtocol(
             *arguments,
             read_limits=self._read_limits,
-            log=self._parts.log,
+            log=self._context.log,
             **options,
         )
 
     def _read_limits(self) -> ClientLimits | None:
-        table = self._parts.configuration.table
+        table = self._context.configuration.table
         return table.configuration.limits if table else None
 
     def _apply_budget(self) -> None:
-        startup = self._parts.startup
-        terms = RetryTerms(
+        startup = self._context.startup
+        terms = RetryAllowance(
             startup.retry_ratio, startup.retry_extra, startup.retry_window
         )
-        share_budget(self._parts.budget, terms, self._nodes)
+        resize_budget(self._context.budget, terms, self._nodes)
 
     async def _serve_readiness(self, request: Request) -> Response:
         if self.ready:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
@@ -14,7 +14,7 @@
 
 from ryelatch_core.fleet import Replica, Stage
 from ryelatch_node.ports import Reach
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.tasks import Tasks
 
 CONNECT_SECONDS = 0.03
@@ -55,7 +55,7 @@
 class PathChecks:
     """Checks whether the replicas of stalled paths accept connections."""
 
-    parts: Parts
+    context: RelayContext
     _last_tried: dict[str, float] = field(default_factory=dict)
     _last_reached: float = _NEVER
     _factor: float = 1
@@ -64,7 +64,7 @@
 
     def __post_init__(self) -> None:
         """Create the task group of the checks."""
-        self._tasks = Tasks(self.parts.log, 'path checks')
+        self._tasks = Tasks(self.context.log, 'path checks')
 
     async def stop(self) -> None:
         """Cancel the checks in progress."""
@@ -73,14 +73,14 @@
     @property
     def threshold_factor(self) -> float:
         """Factor on the pause after which a path is checked; at least 1."""
-        elapsed = self.parts.clock.monotonic() - self._factor_set
+        elapsed = self.context.clock.monotonic() - self._factor_set
         return 1 + (self._factor - 1) * math.exp(
             -elapsed / THRESHOLD_DECAY_SECONDS
         )
 
     def check(self, path: Iterable[Stage]) -> None:
         """Check the replicas of a path that weren't checked recently."""
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         due = [
             stage.replica
             for stage in path
@@ -98,7 +98,7 @@
         self._tasks.spawn(self._check(due))
 
     async def _check(self, replicas: list[Replica]) -> None:
-        clock = self.parts.clock
+        clock = self.context.clock
         for _ in itertools.repeat(None, MAX_ROUNDS):
             started = clock.monotonic()
             found = await asyncio.gather(*map(self._reach, replicas))
@@ -119,7 +119,7 @@
 
         :param started: when the round started, in monotonic seconds.
         """
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         if Reach.LISTENS in found:
             self._last_reached = now
         if all(reach is Reach.LISTENS for reach in found):
@@ -129,10 +129,10 @@
             self._factor_set = now
         for replica, reach in zip(replicas, found, strict=True):
             if reach is Reach.REFUSED:
-                self.parts.replicas.suspect(replica, 'ended', full=False)
+                self.context.replicas.suspect(replica, 'ended', full=False)
             elif reach is Reach.UNKNOWN and self._last_reached >= started:
                 # If no replica is reached, this node itself is cut off.
-                self.parts.replicas.suspect(replica, 'silent', full=False)
+                self.context.replicas.suspect(replica, 'silent', full=False)
 
     async def _reach(self, replica: Replica) -> Reach:
         """Connect to a replica twice in parallel, with a delayed second try.
@@ -159,4 +159,4 @@
 
     async def _try_after(self, replica: Replica, after: float) -> Reach:
         await asyncio.sleep(after)
-        return await self.parts.orders.reach(replica)
+        return await self.context.orders.reach(replica)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
@@ -23,14 +23,14 @@
 
     :param is_throttled: whether the replica of a name has a rate limit or is
         in backoff.
-    :param book: the step-time factors of the replicas that are slow.
+    :param tracker: the step-time factors of the replicas that are slow.
     """
 
     log: LineLog
     clock: Clock
     orders: Orders
     is_throttled: Callable[[str], bool] = lambda _: False
-    book: PaceBook = field(default_factory=PaceBook)
+    tracker: PaceBook = field(default_factory=PaceBook)
     _requested_at: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
 
@@ -80,7 +80,7 @@
         if report is None:
             return
         now = self.clock.monotonic()
-        if self.book.note(replica.name, report.pace, now):
+        if self.tracker.note(replica.name, report.pace, now):
             self.log.record(
                 catalogue.REPLICA_SLOW,
                 replica=replica.name,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
@@ -6,9 +6,9 @@
 
 from ryelatch_core.fleet import Replica, Stage
 from ryelatch_core.quarantine import FRESH_SECONDS
-from ryelatch_node.relay._exchange import Exchange, Inquiry
+from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 
-HEAD_LOST = 'first replica lost'
+FIRST_REPLICA_LOST = 'first replica lost'
 """Reason of an interruption because the first replica can't be reached."""
 
 
@@ -30,17 +30,17 @@
     :param cleared: whether the request has run long enough not to be the
         cause of a crash of its replicas.
     :param moving: whether a move to another path is in progress.
-    :param over: whether the reading of the answer has finished.
+    :param finished: whether the reading of the answer has finished.
     :param stall_recorded: whether the present pause has been logged.
-    :param hindered: whether the stream waited for a lost replica.
+    :param delayed_by_loss: whether the stream waited for a lost replica.
     :param reason: why the stream was interrupted; empty if it was not.
     :param delivered: events that arrived in this attempt.
-    :param tries: attempts to move the stream off leaving replicas.
-    :param tried: when the last move was attempted.
+    :param move_attempts: attempts to move the stream off leaving replicas.
+    :param last_move_attempt: when the last move was attempted.
     """
 
     exchange: Exchange
-    inquiry: Inquiry
+    request: AdmittedRequest
     path: tuple[Stage, ...]
     sent: float
     progress: float
@@ -51,16 +51,16 @@
     begun: bool = False
     cleared: bool = False
     moving: bool = False
-    over: bool = False
+    finished: bool = False
     stall_recorded: bool = False
-    hindered: bool = False
+    delayed_by_loss: bool = False
     reason: str = ''
     delivered: int = 0
-    tries: int = 0
-    tried: float = 0
+    move_attempts: int = 0
+    last_move_attempt: float = 0
 
     @property
-    def head(self) -> Replica:
+    def first_replica(self) -> Replica:
         """The first replica of the path."""
         return self.path[0].replica
 
@@ -69,7 +69,7 @@
         """Whether the path has replicas in several availability zones."""
         return len({stage.replica.zone for stage in self.path}) > 1
 
-    def ran(self, now: float) -> bool:
+    def has_run_long(self, now: float) -> bool:
         """Whether it has run too long to be the cause of a replica's crash.
 
         The time counts from the first event, because a slow replica may take
@@ -88,7 +88,7 @@
 
         :param reason: logged as the reason of the failed attempt.
         """
-        if not self.reason and not self.over:
+        if not self.reason and not self.finished:
             self.reason = reason
             self.scope.reschedule(asyncio.get_running_loop().time())
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -178,9 +178,9 @@
         ]
         terms = self._wire.read_answer(response.status, headers)
         if terms.identity != identity and (terms.identity or terms.signed):
-            raise SendError(SendErrorKind.SPOILED, 'answer to another request')
+            raise SendError(SendErrorKind.INVALID, 'answer to another request')
         if terms.encoded:
-            raise SendError(SendErrorKind.SPOILED, 'encoded body')
+            raise SendError(SendErrorKind.INVALID, 'encoded body')
         return Answer(response, terms)
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -14,14 +14,14 @@
 from ryelatch_core.fleet import Replica, choose_path
 from ryelatch_core.kernel import LagMeter, cancel_task
 from ryelatch_node.ports import OrderResult
-from ryelatch_node.relay._evacuation import Evacuation
+from ryelatch_node.relay._evacuation import MigrationPlanner
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._mover import Mover
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._mover import StreamMigrator
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._query import find_profile, make_query
+from ryelatch_node.relay._query import find_profile, make_path_query
 from ryelatch_node.relay._silence import PathChecks
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.tasks import Tasks
 
 TICK_SECONDS = 0.02
@@ -72,7 +72,7 @@
 REFUSED_MOVE_PAUSE_SECONDS = 0.2
 """Added to that pause after a refused move, as each command has a cost."""
 
-PATIENCE_SECONDS = 1.1
+MAX_REPAIR_WAIT_SECONDS = 1.1
 """Maximum pause of a stream that waits for a repair in its own zone.
 
 An empty replica loads four layers in 0.7 s, and after a move to it only these
@@ -99,7 +99,7 @@
     :param streams: the streams in progress.
     """
 
-    parts: Parts
+    context: RelayContext
     prober: Prober
     streams: set[LiveStream] = field(default_factory=set)
     _report_requested: dict[str, float] = field(default_factory=dict)
@@ -109,15 +109,15 @@
 
     def __post_init__(self) -> None:
         """Create the parts that check and move streams."""
-        self._migrator = Mover(self.parts, self.prober)
-        self._departures = Evacuation(self.parts.replicas)
-        self._path_checks = PathChecks(self.parts)
-        self._tasks = Tasks(self.parts.log, 'streams')
+        self._migrator = StreamMigrator(self.context, self.prober)
+        self._departures = MigrationPlanner(self.context.replicas)
+        self._path_checks = PathChecks(self.context)
+        self._tasks = Tasks(self.context.log, 'streams')
 
     async def start(self) -> None:
         """Start the periodic checks."""
         self._ticker = asyncio.create_task(
-            keep_running('streams', self._run, self.parts.log)
+            keep_running('streams', self._run, self.context.log)
         )
 
     async def stop(self) -> None:
@@ -125,11 +125,11 @@
         await cancel_task(self._ticker)
         await self.prober.stop()
         await self._path_checks.stop()
-        await self.parts.paces.stop()
+        await self.context.paces.stop()
         await self._tasks.stop()
 
     async def _run(self) -> None:
-        clock = self.parts.clock
+        clock = self.context.clock
         while True:
             due = clock.monotonic() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
@@ -139,8 +139,8 @@
                 self._check_streams()
 
     def _check_streams(self) -> None:
-        now = self.parts.clock.monotonic()
-        lost = self.parts.replicas.list_unreachable()
+        now = self.context.clock.monotonic()
+        lost = self.context.replicas.list_unreachable()
         for stream in tuple(self.streams):
             if not stream.moving and not stream.reason:
                 self._check_stream(stream, now, lost)
@@ -154,16 +154,16 @@
         pause = now - stream.progress
         silence_limit = _find_silence_limit(stream)
         if lost and pause > silence_limit and stream.uses(lost):
-            if now - stream.tried > MOVE_PAUSE_SECONDS:
+            if now - stream.last_move_attempt > MOVE_PAUSE_SECONDS:
                 self._tasks.spawn(self._move_off_unreachable(stream, pause))
             return
         if pause > silence_limit * self._path_checks.threshold_factor:
             self._path_checks.check(stream.path)
-        if pause > max(silence_limit, stream.inquiry.route.gap * SLOW_FRACTION):
-            self.parts.paces.check(stream.path)
+        if pause > max(silence_limit, stream.request.route.gap * SLOW_FRACTION):
+            self.context.paces.check(stream.path)
         if pause > _find_stall_limit(stream):
             _record_stall(stream, pause)
-            self._request_report(stream.head, now)
+            self._request_report(stream.first_replica, now)
         else:
             self._check_leaving(stream, now)
         if pause > GIVE_UP_SECONDS and self._may_resume(stream):
@@ -180,31 +180,34 @@
         self._tasks.spawn(self._evaluate_report(replica))
 
     async def _evaluate_report(self, replica: Replica) -> None:
-        if not await self.parts.throttle.take(replica):
+        if not await self.context.throttle.take(replica):
             return
-        sent = self.parts.clock.monotonic()
+        sent = self.context.clock.monotonic()
         try:
             async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
-                report = await self.parts.orders.read_report(replica)
+                report = await self.context.orders.read_report(replica)
         except TimeoutError:
             self._lag.note(
-                sent + _REPORT_TIMEOUT_SECONDS, self.parts.clock.monotonic()
+                sent + _REPORT_TIMEOUT_SECONDS, self.context.clock.monotonic()
             )
             if self._lag.was_late(sent):
                 # The report may have arrived unread. If the replica is lost,
                 # its streams are still stalled and it is asked again soon.
-                self.parts.log.record(
+                self.context.log.record(
                     catalogue.REPORT_DOUBTFUL, replica=replica.name
                 )
                 return
             report = None
         if report is None:
-            self.parts.replicas.suspect(replica, 'no report', full=False)
+            self.context.replicas.suspect(replica, 'no report', full=False)
             self._interrupt_streams_on(replica)
             return
         for stream in self.streams:
-            address = report.stalled.get(stream.inquiry.terms.identity)
-            if address is not None and stream.head.name == replica.name:
+            address = report.stalled.get(stream.request.terms.identity)
+            if (
+                address is not None
+                and stream.first_replica.name == replica.name
+            ):
                 self._suspect_stalled(stream, address)
 
     def _suspect_stalled(self, stream: LiveStream, address: str) -> None:
@@ -215,13 +218,18 @@
         """
         for stage in stream.path[1:]:
             if stage.replica.address == address:
-                stream.hindered = True
-                self.parts.replicas.suspect(stage.replica, 'stalls', full=False)
+                stream.delayed_by_loss = True
+                self.context.replicas.suspect(
+                    stage.replica, 'stalls', full=False
+                )
 
     def _interrupt_streams_on(self, replica: Replica) -> None:
         for stream in self.streams:
-            if stream.head.name == replica.name and stream.inquiry.repeatable:
-                stream.interrupt(HEAD_LOST)
+            if (
+                stream.first_replica.name == replica.name
+                and stream.request.repeatable
+            ):
+                stream.interrupt(FIRST_REPLICA_LOST)
 
     async def _move_off_unreachable(
         self, stream: LiveStream, pause: float
@@ -233,13 +241,13 @@
         streams. Zones are crossed only if the stream can't be resumed on a
         path in another zone.
         """
-        lost = self.parts.replicas.list_unreachable()
-        if stream.head.name in lost:
-            stream.interrupt(HEAD_LOST)
+        lost = self.context.replicas.list_unreachable()
+        if stream.first_replica.name in lost:
+            stream.interrupt(FIRST_REPLICA_LOST)
             return
         stream.moving = True
-        stream.hindered = True
-        stream.tried = self.parts.clock.monotonic()
+        stream.delayed_by_loss = True
+        stream.last_move_attempt = self.context.clock.monotonic()
         resumable = self._may_resume(stream)
         try:
             result = await self._migrator.move(
@@ -249,18 +257,20 @@
             stream.moving = False
         if result in {OrderResult.BEGUN, OrderResult.HELD}:
             return
-        stream.tried += REFUSED_MOVE_PAUSE_SECONDS
+        stream.last_move_attempt += REFUSED_MOVE_PAUSE_SECONDS
         # Until the client notices the pause, a new run may still produce an
         # event in time, so the stream doesn't wait for a repair.
-        noticed = pause >= stream.inquiry.route.gap
-        may_wait = result is None and noticed and pause < PATIENCE_SECONDS
+        noticed = pause >= stream.request.route.gap
+        may_wait = (
+            result is None and noticed and pause < MAX_REPAIR_WAIT_SECONDS
+        )
         if may_wait and self._is_repair_imminent(stream):
             return
         # Where no path is free here, the client may be served by another
         # node: it sees the broken connection and requests the rest, if it
         # hasn't given up by then.
         recoverable_elsewhere = (
-            stream.inquiry.repeatable and pause > GIVE_UP_SECONDS
+            stream.request.repeatable and pause > GIVE_UP_SECONDS
         )
         if resumable or recoverable_elsewhere:
             stream.interrupt(f'move {result.value}' if result else 'no path')
@@ -272,31 +282,31 @@
         left, they were lost, while their replicas would have continued them:
         38 of 69 streams after one crash.
         """
-        inquiry = stream.inquiry
-        if self.parts.budget.left < 1 or not self._has_path(stream):
+        request = stream.request
+        if self.context.budget.left < 1 or not self._has_path(stream):
             return False
         # The run in progress counts, even if none of its events arrived yet.
         ran = stream.exchange.ran + int(not stream.begun)
-        return inquiry.repeatable and ran < inquiry.route.max_attempts
+        return request.repeatable and ran < request.route.max_attempts
 
     def _has_path(self, stream: LiveStream) -> bool:
         """Whether any zone has a path for a new run."""
-        service = stream.inquiry.service
-        lost = self.parts.replicas.list_unreachable()
-        query = make_query(self.parts, stream.inquiry, lost)
+        service = stream.request.service
+        lost = self.context.replicas.list_unreachable()
+        query = make_path_query(self.context, stream.request, lost)
         if query is None:
             return False
         single_zone = replace(query, crosses=False)
-        offered = self.parts.replicas.list_service(service)
+        offered = self.context.replicas.list_service(service)
         return bool(choose_path(offered, single_zone))
 
     def _is_repair_imminent(self, stream: LiveStream) -> bool:
         """Whether an empty replica of the zone can load the layers in time."""
-        service = stream.inquiry.service
-        profile = find_profile(self.parts, service)
+        service = stream.request.service
+        profile = find_profile(self.context, service)
         if profile is None:
             return False
-        alive = self.parts.replicas.list_alive(service)
+        alive = self.context.replicas.list_alive(service)
         names = {replica.name for replica in alive}
         lost = [
             stage for stage in stream.path if stage.replica.name not in names
@@ -304,10 +314,10 @@
         layers = max((len(stage.layers) for stage in lost), default=0)
         seconds = layers / profile.layers * profile.load_seconds
         has_spare = any(
-            replica.zone == stream.head.zone and replica.layers is None
+            replica.zone == stream.first_replica.zone and replica.layers is None
             for replica in alive
         )
-        return has_spare and seconds < PATIENCE_SECONDS
+        return has_spare and seconds < MAX_REPAIR_WAIT_SECONDS
 
     def _check_leaving(self, stream: LiveStream, now: float) -> None:
         """Move a running stream off replicas that are about to stop.
@@ -317,9 +327,9 @@
         but a stream that is interrupted for that isn't certain to find
         another path.
         """
-        if self._departures.is_leaving(stream.head):
+        if self._departures.is_leaving(stream.first_replica):
             return
-        leaving = self._departures.find_due(stream, now)
+        leaving = self._departures.find_replicas_to_leave(stream, now)
         if leaving:
             self._tasks.spawn(self._move_off_leaving(stream, leaving))
 
@@ -341,7 +351,7 @@
         stream.stall_recorded = True
         stream.exchange.record(
             catalogue.STREAM_STALLED,
-            head=stream.head.name,
+            head=stream.first_replica.name,
             pause=round_seconds(pause),
             events=stream.delivered,
         )
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_evacuation.py
@@ -11,7 +11,7 @@
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import reckon_terms
 from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.relay._evacuation import LEAVING_SECONDS, Evacuation
+from ryelatch_node.relay._evacuation import LEAVING_SECONDS, MigrationPlanner
 from ryelatch_node.relay._stream import LiveStream
 
 
@@ -30,7 +30,7 @@
     )
 
 
-def _plan(delay: float) -> tuple[Evacuation, Any, FakeClock]:
+def _plan(delay: float) -> tuple[MigrationPlanner, Any, FakeClock]:
     """Report a replica as leaving, with a delay, to a node with a stream.
 
     :param delay: seconds between two updates of the node's list; the replica
@@ -48,17 +48,21 @@
     path = tuple(
         Stage(_make(name), LayerRange(0, 4)) for name in ('m-0', 'm-1')
     )
-    stream = SimpleNamespace(begun=True, tries=0, tried=0.0, path=path)
-    return Evacuation(view), stream, clock
+    stream = SimpleNamespace(
+        begun=True, move_attempts=0, last_move_attempt=0.0, path=path
+    )
+    return MigrationPlanner(view), stream, clock
 
 
 def test_streams_are_let_be_at_first() -> None:
     """Most streams finish by themselves, and each move costs a command."""
     planner, stream, clock = _plan(delay=0.1)
-    assert not planner.find_due(stream, clock.now)
-    assert not planner.find_due(stream, clock.now + LEAVING_SECONDS)
+    assert not planner.find_replicas_to_leave(stream, clock.now)
+    assert not planner.find_replicas_to_leave(
+        stream, clock.now + LEAVING_SECONDS
+    )
     late = clock.now + LEAVING_SECONDS + 0.4
-    assert planner.find_due(stream, late) == {'m-1'}
+    assert planner.find_replicas_to_leave(stream, late) == {'m-1'}
 
 
 def test_late_word_leaves_less_time() -> None:
@@ -69,11 +73,11 @@
     some of their streams broke.
     """
     planner, stream, clock = _plan(delay=1.4)
-    assert not planner.find_due(stream, clock.now)
-    assert planner.find_due(stream, clock.now + 0.15) == {'m-1'}
+    assert not planner.find_replicas_to_leave(stream, clock.now)
+    assert planner.find_replicas_to_leave(stream, clock.now + 0.15) == {'m-1'}
 
 
-async def test_stream_that_crosses_may_go_on_to() -> None:
+async def test_stream_may_cross_zones_again() -> None:
     """A stream crosses zones if its path does.
 
     Only such a stream may be moved to a path that crosses zones as well: its
--- a/tests/node/relay/test_slow_replicas.py
+++ b/tests/node/relay/test_slow_replicas.py
@@ -54,7 +54,7 @@
         checks, _ = _make_checks()
         checks.check(_PATH)
         await asyncio.sleep(REPORT_TIMEOUT_SECONDS * 1.1)
-        assert checks.book.list_slow(checks.clock.monotonic()) == {
+        assert checks.tracker.list_slow(checks.clock.monotonic()) == {
             'm-20': _SLOW
         }
         await checks.stop()
