--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""Chains of engines and the frames that run a model's layers on them."""
+"""Chains of engines, layer placement, and the frames exchanged with engines."""
 
 from ryelatch_core.pipeline._chain import (
     Chain,
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
@@ -1,4 +1,4 @@
-"""Chains of engines whose layer ranges tile a model."""
+"""Chains of engines whose layer ranges cover a model exactly once."""
 
 import itertools
 from collections.abc import Iterable
@@ -11,9 +11,11 @@
 
 @dataclass(frozen=True)
 class Offer:
-    """An engine that may take part in a chain.
+    """An engine that can serve as a stage of a chain.
 
-    :param cost: seconds that a step is expected to take there now.
+    :param first: first layer that it holds.
+    :param last: layer after the last one that it holds.
+    :param cost: expected duration of a step at present, in seconds.
     """
 
     name: str
@@ -26,9 +28,10 @@
 
 @dataclass(frozen=True)
 class ChainError:
-    """Why no chain can be had, or why one is refused.
+    """Why no chain exists, or why a chain is rejected.
 
     :param reason: machine-readable, such as ``gap``.
+    :param layer: layer at which the problem was found, where known.
     """
 
     reason: str
@@ -43,12 +46,12 @@
     layers: int,
     version: str,
 ) -> Result[None, ChainError]:
-    """Refuse a chain that would skip, double or mix layers.
+    """Reject a chain that would skip or repeat layers or mix versions.
 
-    Engines change ranges and versions on their own time, so a chain built
-    from two views a moment apart may have a gap or an overlap; the caller
-    would see a plausible and wrong text. Checked before the first token, and
-    each receipt is held against its step again.
+    Engines change their ranges and versions at any time, so a chain built
+    from reports of different moments may have a gap or an overlap, and the
+    client would receive plausible but wrong text. The chain is checked before
+    the first token, and each receipt is compared with its step as well.
     """
     expected = 0
     for stage in chain:
@@ -66,62 +69,63 @@
 
 
 def choose_chain(
-    offers: Iterable[Offer],
+    candidates: Iterable[Offer],
     layers: int,
     version: str,
     hop_cost: dict[tuple[str, str], float],
 ) -> Result[Chain, ChainError]:
-    """Find the chain that costs least.
+    """Find the chain with the lowest total cost.
 
-    A shortest path over layer boundaries: engines in order of their first
-    layer, and for each boundary and availability zone only the best way to
-    get there. Processor time grows with engines times zones.
+    Computes a shortest path over layer boundaries: visits the engines in the
+    order of their first layer, and keeps only the cheapest partial chain for
+    each boundary and availability zone. Processor time grows with engines
+    times zones.
 
-    :param hop_cost: seconds between two zones; pairs not named cost nothing.
+    :param hop_cost: seconds between two zones; 0 for pairs not listed.
     """
     best: dict[tuple[int, str], tuple[float, Chain]] = {}
-    fitting = sorted(
-        (offer for offer in offers if offer.version == version),
-        key=lambda offer: (offer.first, offer.last),
+    matching = sorted(
+        (candidate for candidate in candidates if candidate.version == version),
+        key=lambda candidate: (candidate.first, candidate.last),
     )
-    for offer in fitting:
-        if offer.first == 0:
-            reached: tuple[float, Chain] | None = (0, ())
+    for candidate in matching:
+        if candidate.first == 0:
+            prefix: tuple[float, Chain] | None = (0, ())
         else:
-            reached = _arrive(best, offer, hop_cost)
-        if reached is None:
+            prefix = _find_cheapest_prefix(best, candidate, hop_cost)
+        if prefix is None:
             continue
-        total = reached[0] + offer.cost
-        known = best.get((offer.last, offer.zone))
-        if known is None or total < known[0]:
-            best[offer.last, offer.zone] = (total, (*reached[1], offer))
-    ends = [entry for (last, _), entry in best.items() if last == layers]
-    if not ends:
+        total = prefix[0] + candidate.cost
+        cheapest = best.get((candidate.last, candidate.zone))
+        if cheapest is None or total < cheapest[0]:
+            best[candidate.last, candidate.zone] = (total, (*prefix[1], candidate))
+    complete = [entry for (last, _), entry in best.items() if last == layers]
+    if not complete:
         covered = max((last for last, _ in best), default=0)
         return Err(ChainError('no-chain', covered))
-    return Ok(min(ends, key=lambda entry: entry[0])[1])
+    return Ok(min(complete, key=lambda entry: entry[0])[1])
 
 
-def _arrive(
+def _find_cheapest_prefix(
     best: dict[tuple[int, str], tuple[float, Chain]],
-    offer: Offer,
+    candidate: Offer,
     hop_cost: dict[tuple[str, str], float],
 ) -> tuple[float, Chain] | None:
-    ways = [
-        (entry[0] + hop_cost.get((zone, offer.zone), 0), entry[1])
+    options = [
+        (entry[0] + hop_cost.get((zone, candidate.zone), 0), entry[1])
         for (last, zone), entry in best.items()
-        if last == offer.first
+        if last == candidate.first
     ]
-    return min(ways, key=lambda way: way[0], default=None)
+    return min(options, key=lambda option: option[0], default=None)
 
 
 def offer_engine(hello: Hello, zone: str, cost: float) -> Offer:
-    """Make an offer of what an engine says of itself."""
+    """Make a candidate from the description that an engine sent."""
     return Offer(hello.name, zone, hello.first, hello.last, hello.version, cost)
 
 
 def matches_step(step: Step, receipt: Receipt) -> bool:
-    """Tell whether an engine ran just the layers and positions asked for."""
+    """Return whether an engine ran exactly the layers and positions of a step."""
     return (
         step.first == receipt.first
         and step.last == receipt.last
@@ -131,7 +135,10 @@
 
 
 def cut_prompt(length: int, chunk: int) -> list[tuple[int, int]]:
-    """Cut positions into chunks of a step each, as (start, end) pairs."""
+    """Split the positions of a prompt into chunks of one step each.
+
+    :returns: pairs of first position and position after the last.
+    """
     starts = range(0, length, chunk)
     return list(
         itertools.zip_longest(starts, starts[1:], fillvalue=length),
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
@@ -1,4 +1,4 @@
-"""The throughput that engines and links allow, as a maximum flow."""
+"""Upper bound on the throughput of a placement, as a maximum flow."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """An engine as a planner sees it.
+    """An engine as the placement planner sees it.
 
-    :param speed: layers times positions a second.
-    :param capacity: layers that fit into its memory.
+    :param speed: layers times positions per second.
+    :param capacity: number of layers that fit into its memory.
     """
 
     name: str
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True)
 class Placed:
-    """A machine with the layers that it holds or should hold."""
+    """A machine and the range of layers assigned to it.
+
+    :param first: first layer of the range.
+    :param last: layer after the last assignment of the range.
+    """
 
     machine: Machine
     first: int
@@ -31,7 +35,7 @@
 
     @property
     def rate(self) -> float:
-        """Positions a second for its range."""
+        """Positions per second through all its layers."""
         return self.machine.speed / (self.last - self.first)
 
 
@@ -43,57 +47,60 @@
     layers: int,
     links: Mapping[Pair, float],
 ) -> float:
-    """Compute the positions a second that no routing can exceed.
+    """Compute the positions per second that no routing can exceed.
 
-    Each engine is an edge from the boundary before its range to the one
-    behind it, as wide as its rate. Between zones each boundary has an edge
-    as wide as the link; so the graph grows with engines, boundaries and
-    zones, not with pairs of engines.
+    Each engine is an edge from the layer boundary before its range to the one
+    after it, with the engine's rate as capacity. Each boundary has an edge
+    between two zones with the capacity of their link, so the graph grows with
+    engines, boundaries and zones, not with pairs of engines.
 
-    :param links: positions a second between two zones; a pair not named is
-        not a limit.
+    :param links: positions per second between two zones; pairs not listed are
+        unlimited.
     """
-    import networkx as nx  # loaded late: only a planner needs its memory
+    import networkx as nx  # imported late: only a planner needs it
 
-    placed = [one for one in placement if one.first < one.last]
+    assignments = [assignment for assignment in placement if assignment.first < assignment.last]
     graph = nx.DiGraph()
-    for one in placed:
-        _widen(
+    for assignment in assignments:
+        _add_capacity(
             graph,
-            ('into', one.first, one.machine.zone),
-            ('from', one.last, one.machine.zone),
-            one.rate,
+            ('into', assignment.first, assignment.machine.zone),
+            ('from', assignment.last, assignment.machine.zone),
+            assignment.rate,
         )
-    zones = {one.machine.zone for one in placed}
-    boundaries = {one.first for one in placed} | {layers}
+    zones = {assignment.machine.zone for assignment in assignments}
+    boundaries = {assignment.first for assignment in assignments} | {layers}
     for boundary in boundaries - {0, layers}:
         for pair in _list_pairs(zones):
             arrival = ('from', boundary, pair[0])
             graph.add_edge(
                 arrival,
                 ('into', boundary, pair[1]),
-                **_limit(pair, links),
+                **_link_attributes(pair, links),
             )
     for zone in zones:
         graph.add_edge('source', ('into', 0, zone))
         graph.add_edge(('from', layers, zone), 'sink')
-    if not any(one.first == 0 for one in placed):
+    if not any(assignment.first == 0 for assignment in assignments):
         return 0
     return float(nx.maximum_flow_value(graph, 'source', 'sink'))
 
 
-def _widen(graph: Any, start: object, end: object, rate: float) -> None:
-    """Add a rate to an edge; engines of one range and zone share it."""
-    known = graph.get_edge_data(start, end, {'capacity': 0})
-    graph.add_edge(start, end, capacity=known['capacity'] + rate)
+def _add_capacity(graph: Any, start: object, end: object, rate: float) -> None:
+    """Add a rate to an edge, which engines of one range and zone share."""
+    existing = graph.get_edge_data(start, end, {'capacity': 0})
+    graph.add_edge(start, end, capacity=existing['capacity'] + rate)
 
 
 def _list_pairs(zones: set[str]) -> list[Pair]:
-    return [(one, two) for one in zones for two in zones]
+    return [(start, end) for start in zones for end in zones]
 
 
-def _limit(pair: Pair, links: Mapping[Pair, float]) -> dict[str, float]:
-    """Give the limit of a link; an edge without one is endlessly wide."""
+def _link_attributes(pair: Pair, links: Mapping[Pair, float]) -> dict[str, float]:
+    """Return the edge attributes of a link.
+
+    An edge without the attribute ``capacity`` is unlimited.
+    """
     if pair[0] == pair[1] or pair not in links:
         return {}
     return {'capacity': links[pair]}
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_frames.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_frames.py
@@ -1,7 +1,7 @@
-"""The frames between a node and an engine: msgpack arrays in batches.
+"""Frames exchanged between a node and an engine: batches of msgpack arrays.
 
-The classes are frozen structs of the codec in place of data classes: the
-codec then checks types and counts of hostile bytes while it decodes.
+The classes are frozen structs of the codec instead of data classes, so that
+the codec checks types and lengths of untrusted bytes while it decodes them.
 """
 
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class StepKey(NamedTuple):
-    """What makes a step the same step when it is sent again."""
+    """Identity of a step, which stays the same when the step is sent again."""
 
     stream: str
     attempt: int
@@ -20,11 +20,11 @@
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Common form of all frames."""
+    """Base class of all frames."""
 
 
 class _StepFrame(_Frame, frozen=True, array_like=True):
-    """Common form of what concerns one step."""
+    """Base class of the frames that concern one step."""
 
     stream: str
     attempt: int
@@ -32,17 +32,17 @@
 
     @property
     def key(self) -> StepKey:
-        """The identity under which the engine keeps the answer."""
+        """Identity under which the engine keeps the receipt."""
         return StepKey(self.stream, self.attempt, self.position)
 
 
 class Hello(_Frame, frozen=True, array_like=True, tag=0):
-    """What an engine says of itself, at connection and at each change.
+    """Description of an engine, sent on connecting and after each change.
 
-    :param instance: changes with each start of the process.
-    :param first: the first layer that it holds.
-    :param last: the layer after the last one that it holds.
-    :param rate: positions a second for its range, as rated.
+    :param instance: identifier of one run of the process.
+    :param first: first layer that it holds.
+    :param last: layer after the last one that it holds.
+    :param rate: nominal positions per second for its range.
     """
 
     name: str
@@ -58,13 +58,14 @@
 
 
 class Step(_StepFrame, frozen=True, array_like=True, tag=1):
-    """Run an engine's layers over the next positions of a stream.
-
-    :param position: the first of the positions.
-    :param count: how many positions.
-    :param tokens: the input of the first stage, one a position.
-    :param payload: the activations of the stage before, opaque.
-    :param handle: where the engine fetches them instead, or empty.
+    """Command to run an engine's layers on the next positions of a stream.
+
+    :param position: first of the positions.
+    :param count: number of positions.
+    :param tokens: input of the first stage, one token per position.
+    :param payload: activations from the previous stage, opaque.
+    :param handle: where the engine fetches the activations if they are not in
+        ``payload``, or empty.
     :param sample: whether the last stage should return the next token.
     """
 
@@ -80,7 +81,7 @@
 
 
 class Receipt(_StepFrame, frozen=True, array_like=True, tag=2):
-    """What an engine ran, and the output for the next stage or the caller."""
+    """What an engine ran, with its output for the next stage or the client."""
 
     count: int
     first: int
@@ -92,28 +93,28 @@
 
 
 class Refusal(_StepFrame, frozen=True, array_like=True, tag=3):
-    """A step that the engine did not run."""
+    """Notice that the engine did not run a step."""
 
     reason: str
 
 
 class Cancel(_Frame, frozen=True, array_like=True, tag=4):
-    """Forget a stream up to and with an attempt."""
+    """Command to discard a stream up to and including an attempt."""
 
     stream: str
     attempt: int
 
 
 class Ping(_Frame, frozen=True, array_like=True, tag=5):
-    """Asks whether the other end still reads and answers."""
+    """Checks whether the other side still reads and responds."""
 
     number: int
 
 
 class Pong(_Frame, frozen=True, array_like=True, tag=6):
-    """Answers a ping.
+    """Response to a ping.
 
-    :param waiting: positions queued at the engine, as of a while ago.
+    :param waiting: positions queued at the engine; may be out of date.
     """
 
     number: int
@@ -127,18 +128,21 @@
 
 
 class FrameError(Exception):
-    """Bytes that are not a batch of frames."""
+    """Bytes that are not a valid batch of frames."""
 
 
 def encode_frames(frames: list[Frame]) -> bytes:
-    """Encode a batch; steps to one engine share it, as each costs a call."""
+    """Encode a batch of frames.
+
+    Steps for the same engine share a batch, because each batch costs a call.
+    """
     return _encoder.encode(frames)
 
 
 def decode_frames(blob: bytes) -> list[Frame]:
     """Decode a batch.
 
-    :raises FrameError: if anything in it is not of a known form.
+    :raises FrameError: if any part of it does not match a known frame.
     """
     try:
         return _decoder.decode(blob)
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_pace.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_pace.py
@@ -1,52 +1,52 @@
-"""How fast engines answer, as one node sees it, and what that costs."""
+"""Step latencies of engines as measured by a node, and the cost of a step."""
 
 import math
 import statistics
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-FADE_SECONDS = 10.0
+DECAY_SECONDS = 10.0
 STALE_SECONDS = 3.0
-SLOW_FACTOR = 4.0
-SLOW_SECONDS = 0.02
+MIN_SLOWDOWN_FACTOR = 4.0
+MIN_SLOWDOWN_SECONDS = 0.02
 WINDOW_SECONDS = 0.25
-_WEIGHT = 0.2
-_LONG_WEIGHT = 0.002
-_ROOM = 64
+_SMOOTHING = 0.2
+_LONG_TERM_SMOOTHING = 0.002
+_STREAMS_FOR_DOUBLE_LATENCY = 64
 
 
 @dataclass
 class _Window:
-    """The steps of a short time.
+    """Step durations within a short time window.
 
-    :param began: monotonic seconds of its first receipt.
-    :param total: seconds that its steps took together.
+    :param started: monotonic seconds of the first receipt.
+    :param total: sum of the durations, in seconds.
     """
 
-    began: float = -math.inf
+    started: float = -math.inf
     total: float = 0
     steps: int = 0
 
     def add(self, seconds: float) -> None:
-        """Count a step."""
+        """Add the duration of a step."""
         self.total += seconds
         self.steps += 1
 
     def find_mean(self) -> float:
-        """Find how long a step took, in seconds; 0 without any."""
+        """Compute the mean duration in seconds; 0 if there were no steps."""
         return self.total / self.steps if self.steps else 0
 
 
 @dataclass
 class Pace:
-    """The time between a step and its receipt, smoothed.
+    """Smoothed time between sending a step and receiving its receipt.
 
-    It contains what the engine's own reports lag behind with, and a link
-    that has become slow, which no engine reports.
+    It includes load that the engine's own reports do not show yet, and the
+    delay of a slow link, which no engine reports.
 
-    :param latency: seconds.
-    :param seen: monotonic seconds of the last receipt; 0 before any.
-    :param normal: seconds, over hundreds of steps.
+    :param latency: moving average over the last few steps, in seconds.
+    :param seen: monotonic seconds of the last receipt; 0 before the first.
+    :param normal: moving average over hundreds of steps, in seconds.
     """
 
     latency: float = 0
@@ -56,79 +56,83 @@
     _previous: _Window = field(default_factory=_Window)
 
     def observe(self, seconds: float, now: float) -> None:
-        """Take in the time of a step."""
+        """Record the duration of a step."""
         if self.is_stale(now):
             self.latency = seconds
             self._current = _Window()
         else:
-            self.latency += _WEIGHT * (seconds - self.latency)
-        self.normal += _LONG_WEIGHT * (seconds - (self.normal or seconds))
+            self.latency += _SMOOTHING * (seconds - self.latency)
+        self.normal += _LONG_TERM_SMOOTHING * (seconds - (self.normal or seconds))
         self.normal = self.normal or seconds
         self.seen = now
-        if now - self._current.began > WINDOW_SECONDS:
+        if now - self._current.started > WINDOW_SECONDS:
             self._previous = self._current
             self._current = _Window(now)
         self._current.add(seconds)
 
-    def expect(self, usual: float, now: float) -> float:
-        """Expect a latency; old knowledge fades towards what is usual.
+    def expect(self, typical: float, now: float) -> float:
+        """Predict the latency; an old value decays to the typical one.
 
-        An engine that was slow would never be asked again, and so never be
-        seen to have recovered. As the memory of it fades it is tried again.
+        A slow engine gets no new steps, so its recovery would never be
+        measured. The decay makes sure that it is tried again after a while.
         """
         if not self.seen:
-            return usual
-        kept = math.exp((self.seen - now) / FADE_SECONDS)
-        return usual + (self.latency - usual) * kept
+            return typical
+        remaining = math.exp((self.seen - now) / DECAY_SECONDS)
+        return typical + (self.latency - typical) * remaining
 
     def is_stale(self, now: float) -> bool:
-        """Tell whether nothing was heard for a while."""
+        """Return whether no receipt has arrived for a while."""
         return not self.seen or now - self.seen > STALE_SECONDS
 
-    def is_slow(self, usual: float, now: float) -> bool:
-        """Tell whether it is known just now to be slower than it should be.
+    def is_slow(self, typical: float, now: float) -> bool:
+        """Return whether recent steps were slower than they should be.
 
-        Slower than its peers, or than itself before: while all answers run
-        on the nearest engine nothing is known of the others. And both by a
-        factor and by a time that callers would feel: among steps of a
-        millisecond any pause of a process is a large factor. And in two
-        windows in a row: one pause makes all steps in flight late at once.
+        They are compared with those of the engine's peers and with its own
+        long-term average, because while all answers run on the nearest engine
+        no recent latency of the others is known. The difference must be both
+        a factor and a time that clients notice: beside steps of a millisecond
+        any pause of a process is a large factor. It must show in two windows
+        in a row, because a single pause delays all steps in flight at once.
         """
-        usual = min(usual or self.normal, self.normal or usual)
-        least = max(SLOW_FACTOR * usual, usual + SLOW_SECONDS)
+        typical = min(typical or self.normal, self.normal or typical)
+        threshold = max(MIN_SLOWDOWN_FACTOR * typical, typical + MIN_SLOWDOWN_SECONDS)
         windows = (self._previous, self._current)
         return not self.is_stale(now) and all(
-            window.find_mean() > least for window in windows
+            window.find_mean() > threshold for window in windows
         )
 
 
 def find_usual(paces: Iterable[Pace], now: float) -> float:
-    """Find the latency that is usual among engines of one range.
+    """Find the typical latency among engines that hold the same layers.
 
-    :returns: the median of what was heard just now, the lower of two; 0 if
-        nothing was.
+    :returns: low median of the latencies that are not stale, in seconds; 0 if
+        all are stale.
     """
-    fresh = [pace.latency for pace in paces if not pace.is_stale(now)]
-    return statistics.median_low(fresh) if fresh else 0
+    recent = [pace.latency for pace in paces if not pace.is_stale(now)]
+    return statistics.median_low(recent) if recent else 0
 
 
 def estimate_cost(
     pace: Pace,
-    usual: float,
+    typical: float,
     streams: int,
     waiting: float,
     rate: float,
     now: float,
 ) -> float:
-    """Estimate the seconds that a step of a new stream will take.
+    """Estimate the duration of a step of a new stream, in seconds.
 
-    :param streams: streams of this node that run on the engine; they are
-        known at once, while the engine's own report lags.
+    :param typical: typical latency among engines that hold the same layers,
+        in seconds.
+    :param streams: number of streams of this node on the engine; it is
+        current, while the engine's own report is delayed.
     :param waiting: positions queued, by the engine's last report.
+    :param rate: nominal positions per second of the engine.
     """
-    latency = pace.expect(usual, now) or 1 / rate
+    latency = pace.expect(typical, now) or 1 / rate
     if streams and pace.seen and pace.is_stale(now):
-        # One stream is there to find out whether the engine has recovered;
-        # a second one would learn nothing more and be as slow.
-        latency *= SLOW_FACTOR
-    return latency * (1 + streams / _ROOM) + waiting / rate
+        # One stream is enough to find out whether the engine has recovered;
+        # a second one would add no information and be just as slow.
+        latency *= MIN_SLOWDOWN_FACTOR
+    return latency * (1 + streams / _STREAMS_FOR_DOUBLE_LATENCY) + waiting / rate
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
@@ -1,4 +1,4 @@
-"""Which engine should hold which layers, for the most throughput."""
+"""Assignment of layers to engines for the highest throughput."""
 
 import itertools
 from collections import Counter
@@ -14,19 +14,19 @@
 )
 
 MAX_STAGES = 16
-_POLISHED = 48
-_SMALL = 8
-_TINY = 4
-_STARTS = 3
-_ROUNDS = 24
-_WORTHWHILE = 1.02
+_MAX_REFINED_MACHINES = 48
+_MAX_EXHAUSTIVE_SIZE = 8
+_MAX_PAIRED_MACHINES = 4
+_REFINED_PLANS = 3
+_MAX_MOVES = 24
+_MIN_GAIN_RATIO = 1.02
 
 
 @dataclass(frozen=True)
 class Plan:
     """A placement and the throughput that it allows.
 
-    :param moved: layers that have to be loaded for it.
+    :param moved: number of layers that have to be loaded for it.
     """
 
     placement: Placement
@@ -39,40 +39,46 @@
     layers: int,
     links: Mapping[Pair, float],
 ) -> Plan:
-    """Place a model on machines that hold nothing yet.
+    """Place a model on machines that hold no layers yet.
 
-    The layers are cut into stages in several ways, and for each cut the
-    machines are dealt out, the fastest first or the smallest first, to the
-    stages where they lift the weakest most. The best of these by maximum
-    flow are polished by single moves while they are small.
+    Splits the layers into stages in several ways. For each split the machines
+    are assigned greedily, the fastest or the smallest first, to the stages
+    whose throughput they raise most. For small fleets the best of these plans
+    by maximum flow are then refined by moves of single machines.
     """
-    cuts = _list_cuts(machines, layers)
+    splits = _list_splits(machines, layers)
     plans = [
-        _deal(order, layers, bounds, links)
-        for bounds in cuts
+        _assign_greedily(order, layers, bounds, links)
+        for bounds in splits
         for order in _list_orders(machines)
     ]
     plans.sort(key=lambda plan: -plan.throughput)
-    if len(machines) > _POLISHED:
+    if len(machines) > _MAX_REFINED_MACHINES:
         return plans[0]
-    starts = plans[: _STARTS if len(machines) <= _SMALL else 1]
-    polished = [
+    starts = plans[: _REFINED_PLANS if len(machines) <= _MAX_EXHAUSTIVE_SIZE else 1]
+    refined = [
         improve_placement(plan.placement, layers, links, 1) for plan in starts
     ]
-    return max(polished, key=lambda plan: plan.throughput)
+    return max(refined, key=lambda plan: plan.throughput)
 
 
 def _list_orders(machines: Sequence[Machine]) -> list[list[Machine]]:
-    """List orders to deal in; in a large fleet the one that counts most."""
-    fastest = sorted(machines, key=lambda one: -one.speed)
-    smallest = sorted(fastest, key=lambda one: one.capacity)
-    return [fastest] if len(machines) > _POLISHED else [fastest, smallest]
+    """List the orders in which machines are assigned.
 
+    A large fleet tries only the fastest first, which matters most.
+    """
+    fastest = sorted(machines, key=lambda machine: -machine.speed)
+    smallest = sorted(fastest, key=lambda machine: machine.capacity)
+    return [fastest] if len(machines) > _MAX_REFINED_MACHINES else [fastest, smallest]
+
+
+def _list_splits(machines: Sequence[Machine], layers: int) -> list[list[int]]:
+    """List the boundaries of all possible splits into stages.
 
-def _list_cuts(machines: Sequence[Machine], layers: int) -> list[list[int]]:
-    """List ways to cut: all of them in small, else even ones."""
+    With many machines or layers only even splits are listed.
+    """
     stages = range(1, min(layers, MAX_STAGES) + 1)
-    if len(machines) > _SMALL or layers > _SMALL:
+    if len(machines) > _MAX_EXHAUSTIVE_SIZE or layers > _MAX_EXHAUSTIVE_SIZE:
         return [cut_evenly(layers, count) for count in stages]
     return [
         [0, *inner, layers]
@@ -85,81 +91,82 @@
     placement: Placement,
     layers: int,
     links: Mapping[Pair, float],
-    worthwhile: float = _WORTHWHILE,
+    min_gain_ratio: float = _MIN_GAIN_RATIO,
 ) -> Plan:
     """Improve a placement by moving one machine at a time.
 
-    Loading weights goes through the rate-limited store, so a move has to
-    gain enough, and of equal gains the one that loads fewest layers wins.
+    Weights are loaded through the rate-limited store, so a move must gain
+    enough, and among equal gains the one that loads fewest layers is taken.
 
-    :param worthwhile: throughput after a move over that before.
+    :param min_gain_ratio: ratio of the throughput after a move to that before it
+        which the move must exceed.
     """
     current = placement
     throughput = bound_throughput(current, layers, links)
     moved = 0
-    for _ in range(_ROUNDS):
+    for _ in range(_MAX_MOVES):
         options = [
             (bound_throughput(option, layers, links), -loaded, option)
             for option, loaded in _list_moves(current, layers)
         ]
         if not options:
             break
-        gained, loaded, option = max(options, key=lambda entry: entry[:2])
-        if gained <= throughput * worthwhile:
+        improved, loaded, option = max(options, key=lambda entry: entry[:2])
+        if improved <= throughput * min_gain_ratio:
             break
         current = option
-        throughput = gained
+        throughput = improved
         moved -= loaded
     return Plan(current, throughput, moved)
 
 
 def cut_evenly(layers: int, stages: int) -> list[int]:
-    """Cut layers into stages that differ by one layer at most.
+    """Split layers into stages whose sizes differ by at most one layer.
 
     :returns: the boundaries, from 0 to the number of layers.
     """
     return [layers * stage // stages for stage in range(stages + 1)]
 
 
-def _deal(
+def _assign_greedily(
     machines: Sequence[Machine],
     layers: int,
     bounds: list[int],
     links: Mapping[Pair, float],
 ) -> Plan:
-    """Deal machines out over stages, in the order given."""
+    """Assign machines to stages greedily, in the given order."""
     stages = len(bounds) - 1
-    filled: list[float] = [0 for _ in range(stages)]
-    dealt: list[Placed] = []
+    rates: list[float] = [0 for _ in range(stages)]
+    assignments: list[Placed] = []
     in_zone: Counter[tuple[str, int]] = Counter()
     for machine in machines:
-        span = _choose_span(machine, bounds, filled, in_zone)
+        span = _choose_span(machine, bounds, rates, in_zone)
         if span is None:
             continue
-        one = Placed(machine, bounds[span[0]], bounds[span[1]])
-        dealt.append(one)
+        assignment = Placed(machine, bounds[span[0]], bounds[span[1]])
+        assignments.append(assignment)
         for stage in range(*span):
-            filled[stage] += one.rate
+            rates[stage] += assignment.rate
             in_zone[machine.zone, stage] += 1
-    placement = tuple(dealt)
+    placement = tuple(assignments)
     return Plan(placement, bound_throughput(placement, layers, links))
 
 
 def _choose_span(
     machine: Machine,
     bounds: list[int],
-    filled: list[float],
+    rates: list[float],
     in_zone: Counter[tuple[str, int]],
 ) -> tuple[int, int] | None:
-    """Choose the stages that a machine helps most.
+    """Choose the run of stages where a machine has the highest benefit.
 
-    Of stages equally weak it is the one that the zone lacks most: answers
-    then find a whole chain without crossing zones.
+    Among equal runs it is the one with the fewest machines of the same zone,
+    so that answers find a complete chain without crossing zones.
     """
     return min(
         _list_spans(machine, bounds),
         key=lambda span: (
-            -_lift(machine, span, filled, bounds),
+            -_compute_benefit(machine, span, rates, bounds),
             in_zone[machine.zone, span[0]],
         ),
         default=None,
@@ -167,13 +174,14 @@
 
 
 def _list_spans(machine: Machine, bounds: list[int]) -> list[tuple[int, int]]:
-    """List the runs of stages that fit into a machine.
+    """List the runs of consecutive stages that fit into a machine.
 
-    Among many stages only single ones and the whole are worth the time.
+    With many stages only single stages and the complete model are listed, to
+    bound the running time.
     """
     stages = len(bounds) - 1
     spans = list(itertools.combinations(range(stages + 1), 2))
-    if stages > _SMALL:
+    if stages > _MAX_EXHAUSTIVE_SIZE:
         spans = [(stage, stage + 1) for stage in range(stages)]
         spans.append((0, stages))
     return [
@@ -183,59 +191,61 @@
     ]
 
 
-def _lift(
+def _compute_benefit(
     machine: Machine,
     span: tuple[int, int],
-    filled: list[float],
+    rates: list[float],
     bounds: list[int],
 ) -> float:
-    """How much a machine helps the stages that need it most.
+    """Compute the benefit of a machine for a run of stages.
 
-    A stage counts by the inverse of what it has; one that has nothing comes
-    before all others.
+    A stage is weighted by the inverse of its present rate, so a stage without
+    machines comes before all others.
     """
     width = bounds[span[1]] - bounds[span[0]]
     rate = machine.speed / width
-    return sum(rate / (filled[stage] + rate / 1000) for stage in range(*span))
+    return sum(rate / (rates[stage] + rate / 1000) for stage in range(*span))
 
 
 def _list_moves(
     placement: Placement,
     layers: int,
 ) -> Iterator[tuple[Placement, int]]:
-    """List placements that differ in one machine, or two in small.
+    """List placements that differ in one machine, or in two of a small fleet.
+
+    Where a stage consists of a single engine, no single move is a gain.
 
-    Where a single engine is the whole of a stage, no single move gains.
+    :returns: each placement and the number of layers to load for it.
     """
     ranges = _list_ranges(placement, layers)
-    if len(placement) <= _TINY:
+    if len(placement) <= _MAX_PAIRED_MACHINES:
         yield from _move_pairs(placement, ranges)
     else:
         for index, _ in enumerate(placement):
-            yield from _move_one(placement, index, ranges)
+            yield from _move_machine(placement, index, ranges)
 
 
 def _move_pairs(
     placement: Placement,
     ranges: list[tuple[int, int]],
 ) -> Iterator[tuple[Placement, int]]:
-    for one, two in itertools.combinations(range(len(placement)), 2):
-        for option, loaded in _move_one(placement, one, ranges):
-            for second, more in _move_one(option, two, ranges):
-                yield second, loaded + more
+    for first, second in itertools.combinations(range(len(placement)), 2):
+        for option, loaded in _move_machine(placement, first, ranges):
+            for moved, also_loaded in _move_machine(option, second, ranges):
+                yield moved, loaded + also_loaded
 
 
-def _move_one(
+def _move_machine(
     placement: Placement,
     index: int,
     ranges: list[tuple[int, int]],
 ) -> Iterator[tuple[Placement, int]]:
-    one = placement[index]
-    held = range(one.first, one.last)
+    assignment = placement[index]
+    held = range(assignment.first, assignment.last)
     for first, last in ranges:
-        if last - first <= one.machine.capacity:
+        if last - first <= assignment.machine.capacity:
             loaded = sum(layer not in held for layer in range(first, last))
-            moved = Placed(one.machine, first, last)
+            moved = Placed(assignment.machine, first, last)
             yield (
                 (*placement[:index], moved, *placement[index + 1 :]),
                 loaded,
@@ -243,7 +253,7 @@
 
 
 def _list_ranges(placement: Placement, layers: int) -> list[tuple[int, int]]:
-    """List the ranges worth a try: all in small, else those in use."""
-    if len(placement) <= _SMALL:
+    """List the ranges to try: all in a small fleet, else those in use."""
+    if len(placement) <= _MAX_EXHAUSTIVE_SIZE:
         return list(itertools.combinations(range(layers + 1), 2))
-    return sorted({(one.first, one.last) for one in placement})
+    return sorted({(assignment.first, assignment.last) for assignment in placement})
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_repair.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_repair.py
@@ -1,4 +1,4 @@
-"""Which engine should hold other layers, and why."""
+"""Plans which engine should change its layers so that none is missing."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,7 +7,12 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """The layers that an engine holds; none if first and last are equal."""
+    """The layers that an engine holds.
+
+    :param first: first layer of the range.
+    :param last: layer after the last one; equal to ``first`` if it holds none.
+    :param rate: positions per second for its range.
+    """
 
     name: str
     first: int
@@ -17,9 +22,9 @@
 
 @dataclass(frozen=True)
 class Move:
-    """An order to hold other layers.
+    """A command for an engine to hold other layers.
 
-    :param reason: for the event that tells of it.
+    :param reason: why, for the event that records the command.
     """
 
     name: str
@@ -32,23 +37,25 @@
     holdings: Iterable[Holding], layers: int
 ) -> list[tuple[int, int]]:
     """List the ranges of layers that no engine holds."""
-    covered = _count_cover(holdings)
-    missing = [layer for layer in range(layers) if not covered[layer]]
+    holders = _count_holders(holdings)
+    missing = [layer for layer in range(layers) if not holders[layer]]
     starts = [layer for layer in missing if layer - 1 not in missing]
     ends = [layer + 1 for layer in missing if layer + 1 not in missing]
     return list(zip(starts, ends, strict=True))
 
 
 def plan_repair(holdings: Sequence[Holding], layers: int) -> Move | None:
-    """Plan the next order, or none if the engines stand well.
+    """Plan the next move.
 
-    A range that nobody holds goes to an engine that holds nothing, else to
-    one whose every layer is held by another too: of those, one out of the
-    range held by most. An engine without layers and without a gap to fill
-    goes where the least work can be done.
+    Layers that no engine holds go to an engine without layers, else to one
+    whose layers are all held by others as well, preferably by many others.
+    An engine without layers goes to the range with the lowest total rate if
+    there is no gap to fill.
+
+    :returns: the move, or ``None`` if no move is needed or possible.
     """
     gaps = find_gaps(holdings, layers)
-    spares = [one for one in holdings if one.first == one.last]
+    spares = [holding for holding in holdings if holding.first == holding.last]
     if gaps:
         first, last = gaps[0]
         donor = spares[0] if spares else _find_donor(holdings)
@@ -61,7 +68,7 @@
     return None
 
 
-def _count_cover(holdings: Iterable[Holding]) -> Counter[int]:
+def _count_holders(holdings: Iterable[Holding]) -> Counter[int]:
     return Counter(
         layer
         for holding in holdings
@@ -70,24 +77,24 @@
 
 
 def _find_donor(holdings: Sequence[Holding]) -> Holding | None:
-    covered = _count_cover(holdings)
-    spread = {
-        one.name: min(covered[layer] for layer in range(one.first, one.last))
-        for one in holdings
+    holders = _count_holders(holdings)
+    redundancy = {
+        holding.name: min(holders[layer] for layer in range(holding.first, holding.last))
+        for holding in holdings
     }
-    donors = [one for one in holdings if spread[one.name] > 1]
+    donors = [holding for holding in holdings if redundancy[holding.name] > 1]
     return max(
-        donors, key=lambda one: (spread[one.name], -one.rate), default=None
+        donors, key=lambda holding: (redundancy[holding.name], -holding.rate), default=None
     )
 
 
 def _find_weakest(holdings: Sequence[Holding]) -> tuple[int, int]:
-    """Find the range whose engines together do the least work."""
-    ranges = {(one.first, one.last) for one in holdings} - {(0, 0)}
-    busy = {pair for pair in ranges if pair[0] < pair[1]}
+    """Find the range whose engines have the lowest total rate."""
+    ranges = {(holding.first, holding.last) for holding in holdings} - {(0, 0)}
+    held = {pair for pair in ranges if pair[0] < pair[1]}
     return min(
-        busy,
+        held,
         key=lambda pair: sum(
-            one.rate for one in holdings if (one.first, one.last) == pair
+            holding.rate for holding in holdings if (holding.first, holding.last) == pair
         ),
     )
--- a/tests/core/pipeline/test_chain.py
+++ b/tests/core/pipeline/test_chain.py
@@ -1,4 +1,4 @@
-"""Chains: checks and choice."""
+"""Tests for checking and choosing chains of engines."""
 
 import itertools
 
@@ -37,10 +37,10 @@
 def test_wrong_chains_are_refused(
     chain: tuple[Offer, ...], reason: str
 ) -> None:
-    """Engines change their ranges while a chain is put together.
+    """Engines change their ranges while a chain is assembled.
 
-    Each way in which layers would be skipped, doubled or mixed is refused
-    before the first token.
+    Each chain that would skip, repeat or mix layers is rejected before the
+    first token.
     """
     assert check_chain(chain, 8, '1').unwrap_err().reason == reason
 
@@ -88,8 +88,8 @@
 
 @given(st.integers(1, 100), st.integers(1, 20))
 def test_chunks_tile_a_prompt(length: int, chunk: int) -> None:
-    pieces = cut_prompt(length, chunk)
+    chunks = cut_prompt(length, chunk)
     positions = [
-        position for start, end in pieces for position in range(start, end)
+        position for start, end in chunks for position in range(start, end)
     ]
     assert positions == list(range(length))
--- a/tests/core/pipeline/test_frames.py
+++ b/tests/core/pipeline/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between a node and an engine."""
+"""Tests for the frames exchanged between a node and an engine."""
 
 import pytest
 from hypothesis import given
@@ -29,7 +29,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_frames_or_an_error(blob: bytes) -> None:
-    """An engine, or something in its place, sends what it likes."""
+    """An engine, or another process at its address, sends arbitrary bytes."""
     try:
         decode_frames(blob)
     except FrameError:
--- a/tests/core/pipeline/test_pace.py
+++ b/tests/core/pipeline/test_pace.py
@@ -1,33 +1,33 @@
-"""The pace of engines, and the cost of using them."""
+"""Tests for the measured latency of engines and the estimated cost of steps."""
 
 from ryelatch_core.pipeline import Pace, estimate_cost, find_usual
 
 _STREAMS = 6
 
 
-def _flow(pace: Pace, begin: float, end: float, seconds: float) -> None:
-    """Let streams take steps on an engine, all at the same moments."""
-    for step in range(1, round((end - begin) / seconds) + 1):
+def _record_steps(pace: Pace, start: float, end: float, seconds: float) -> None:
+    """Record steps of several streams on an engine, all at the same times."""
+    for step in range(1, round((end - start) / seconds) + 1):
         for _ in range(_STREAMS):
-            pace.observe(seconds, begin + step * seconds)
+            pace.observe(seconds, start + step * seconds)
 
 
 def test_slow_engine_is_left_and_tried_again() -> None:
     """A link to one engine becomes ten times slower for a while.
 
-    New streams go elsewhere; as the memory of it fades, one is sent to find
-    out, and only one until it has answered.
+    New streams avoid it until the measured latency has decayed. Then a single
+    stream tries it, and no second one before a receipt has arrived.
     """
     paces = [Pace(), Pace(), Pace()]
     for pace, latency in zip(paces, (0.01, 0.01, 0.1), strict=True):
-        _flow(pace, 99, 100, latency)
-    usual = find_usual(paces, 100)
-    assert usual == paces[0].latency
-    assert paces[2].is_slow(usual, 100)
-    assert not paces[0].is_slow(usual, 100)
+        _record_steps(pace, 99, 100, latency)
+    typical = find_usual(paces, 100)
+    assert typical == paces[0].latency
+    assert paces[2].is_slow(typical, 100)
+    assert not paces[0].is_slow(typical, 100)
 
     def cost(index: int, streams: int, now: float) -> float:
-        return estimate_cost(paces[index], usual, streams, 0, 1000, now)
+        return estimate_cost(paces[index], typical, streams, 0, 1000, now)
 
     assert cost(2, 0, 101) > cost(0, 100, 101)
     paces[0].observe(0.01, 140)
@@ -36,37 +36,37 @@
 
 
 def test_one_pause_is_no_crawl() -> None:
-    """A node or an engine stands still for a moment; all steps come late."""
+    """A node or an engine pauses for a moment, which delays all steps."""
     pace = Pace()
-    _flow(pace, 100, 101, 0.004)
-    _flow(pace, 101, 101.15, 0.15)
+    _record_steps(pace, 100, 101, 0.004)
+    _record_steps(pace, 101, 101.15, 0.15)
     assert not pace.is_slow(0.004, 101.15)
-    _flow(pace, 101.15, 101.6, 0.004)
+    _record_steps(pace, 101.15, 101.6, 0.004)
     assert not pace.is_slow(0.004, 101.6)
-    _flow(pace, 101.6, 101.85, 0.25)
+    _record_steps(pace, 101.6, 101.85, 0.25)
     assert not pace.is_slow(0.004, 101.85)
 
 
 def test_first_steps_in_a_pause_are_no_crawl() -> None:
-    """Streams begin on an engine as it stands still for a moment."""
+    """Streams start on an engine while it pauses for a moment."""
     pace = Pace()
-    _flow(pace, 100, 100.15, 0.15)
+    _record_steps(pace, 100, 100.15, 0.15)
     assert not pace.is_slow(0.004, 100.15)
 
 
 def test_old_crawl_and_a_pause_are_no_crawl() -> None:
-    """An engine that crawled long ago stands still for a moment."""
+    """An engine that was slow several seconds ago pauses for a moment."""
     pace = Pace()
-    _flow(pace, 90, 91, 0.1)
-    _flow(pace, 100, 100.15, 0.15)
+    _record_steps(pace, 90, 91, 0.1)
+    _record_steps(pace, 100, 100.15, 0.15)
     assert not pace.is_slow(0.004, 100.15)
 
 
 def test_crawl_is_seen_within_a_second() -> None:
-    """All steps of an engine take twenty-five times as long from a moment."""
+    """All steps of an engine suddenly take twenty-five times as long."""
     pace = Pace()
-    _flow(pace, 100, 101, 0.004)
-    _flow(pace, 101, 102, 0.1)
+    _record_steps(pace, 100, 101, 0.004)
+    _record_steps(pace, 101, 102, 0.1)
     assert pace.is_slow(0.004, 102)
 
 
@@ -84,7 +84,7 @@
 
 
 def test_own_dispatches_count_before_reports_do() -> None:
-    """The engine's report of its queue lags; own streams are known."""
+    """The node's own streams count before the engine reports its queue."""
     pace = Pace()
     assert estimate_cost(pace, 0, 5, 0, 100, 10) > estimate_cost(
         pace, 0, 0, 0, 100, 10
@@ -94,14 +94,14 @@
 def test_only_engine_in_use_becomes_slow() -> None:
     """All answers run on the nearest engine, and its link degrades.
 
-    Of its peer nothing is known just now, so the slow engine would be what
-    is usual; it is held against its own past.
+    Its peer has no recent latency, so the slow engine alone would define the
+    typical latency; it is compared with its own long-term average instead.
     """
     pace = Pace()
     for step in range(500):
         pace.observe(0.003, 100 + step / 100)
     for step in range(30):
         pace.observe(0.1, 105 + step / 10)
-    usual = find_usual([pace, Pace()], 108)
-    assert usual == pace.latency
-    assert pace.is_slow(usual, 108)
+    typical = find_usual([pace, Pace()], 108)
+    assert typical == pace.latency
+    assert pace.is_slow(typical, 108)
--- a/tests/core/pipeline/test_placement.py
+++ b/tests/core/pipeline/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of layers and the bound on throughput."""
+"""Tests for the placement of layers and the bound on throughput."""
 
 import itertools
 
@@ -45,14 +45,14 @@
 
 
 def test_small_models_are_cut_unevenly() -> None:
-    """A fast machine holds one layer only, a slow one holds three."""
+    """The fast machine has memory for one layer, the slow one for three."""
     machines = [Machine('a', 'z', 100, 1), Machine('b', 'z', 30, 3)]
     plan = place_layers(machines, 4, {})
     assert plan.throughput == pytest.approx(10)
 
 
 def test_moves_load_few_layers() -> None:
-    """One stage lost a machine; one move mends it."""
+    """One of the two stages lacks machines; a single move corrects that."""
     placement = (
         *(Placed(_machine(f'a{index}', 40), 0, 4) for index in range(5)),
         Placed(_machine('b', 40), 4, 8),
--- a/tests/core/pipeline/test_repair.py
+++ b/tests/core/pipeline/test_repair.py
@@ -1,4 +1,4 @@
-"""Plans of which engine should hold which layers."""
+"""Tests for the repair of missing layers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -37,13 +37,13 @@
 def test_orders_end_and_leave_no_mendable_gap(
     ranges: list[tuple[int, int]],
 ) -> None:
-    """Orders are followed one after the other until there are none.
+    """Moves are carried out one after the other until none is planned.
 
-    They must come to an end, and never open a gap that was not there.
+    The sequence must terminate, and no move may open a new gap.
     """
     holdings = {
-        f'e{index}': Holding(f'e{index}', *pair)
-        for index, pair in enumerate(ranges)
+        f'e{index}': Holding(f'e{index}', *layer_range)
+        for index, layer_range in enumerate(ranges)
     }
     for _ in range(len(ranges) + 3):
         gaps = len(find_gaps(holdings.values(), 12))
