--- a/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
@@ -3,17 +3,17 @@
 from ryelatch_core.events import _catalogue as catalogue
 from ryelatch_core.events._catalogue import EventKind, Level, list_kinds
 from ryelatch_core.events._clock import HybridClock, Stamp
-from ryelatch_core.events._costs import CostBook, FleetCosts, sum_costs
-from ryelatch_core.events._lines import LineLog, open_stdout
-from ryelatch_core.events._story import (
+from ryelatch_core.events._explanation import (
     Line,
     Story,
     count_reasons,
     explain_request,
     read_lines,
 )
+from ryelatch_core.events._lines import LineLog, open_stdout
 from ryelatch_core.events._supervision import keep_running
 from ryelatch_core.events._timeline import Event, Timeline, merge_events
+from ryelatch_core.events._usage import CostBook, FleetCosts, sum_costs
 
 __all__ = [
     'CostBook',
--- a/packages/ryelatch-core/src/ryelatch_core/events/_costs.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.events._catalogue import NODE_COSTS
-from ryelatch_core.events._story import Line
+from ryelatch_core.events._explanation import Line
 
 PROCESS = 'process'
 """The activity that stands for all of a process's time since its start."""
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
@@ -31,7 +31,7 @@
     decode_frames,
     encode_frames,
 )
-from ryelatch_core.pipeline._pace import Pace, estimate_cost, find_usual
+from ryelatch_core.pipeline._latency import Pace, estimate_cost, find_usual
 from ryelatch_core.pipeline._placement import (
     Plan,
     cut_evenly,
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
@@ -98,7 +98,10 @@
         total = prefix[0] + candidate.cost
         cheapest = best.get((candidate.last, candidate.zone))
         if cheapest is None or total < cheapest[0]:
-            best[candidate.last, candidate.zone] = (total, (*prefix[1], candidate))
+            best[candidate.last, candidate.zone] = (
+                total,
+                (*prefix[1], candidate),
+            )
     complete = [entry for (last, _), entry in best.items() if last == layers]
     if not complete:
         covered = max((last for last, _ in best), default=0)
@@ -125,7 +128,10 @@
 
 
 def matches_step(step: Step, receipt: Receipt) -> bool:
-    """Return whether an engine ran exactly the layers and positions of a step."""
+    """Return whether a receipt covers exactly what a step asked for.
+
+    Compares the layers, the number of positions and the version.
+    """
     return (
         step.first == receipt.first
         and step.last == receipt.last
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
@@ -59,7 +59,11 @@
     """
     import networkx as nx  # imported late: only a planner needs it
 
-    assignments = [assignment for assignment in placement if assignment.first < assignment.last]
+    assignments = [
+        assignment
+        for assignment in placement
+        if assignment.first < assignment.last
+    ]
     graph = nx.DiGraph()
     for assignment in assignments:
         _add_capacity(
@@ -96,7 +100,9 @@
     return [(start, end) for start in zones for end in zones]
 
 
-def _link_attributes(pair: Pair, links: Mapping[Pair, float]) -> dict[str, float]:
+def _link_attributes(
+    pair: Pair, links: Mapping[Pair, float]
+) -> dict[str, float]:
     """Return the edge attributes of a link.
 
     An edge without the attribute ``capacity`` is unlimited.
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_pace.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_latency.py
@@ -62,7 +62,9 @@
             self._current = _Window()
         else:
             self.latency += _SMOOTHING * (seconds - self.latency)
-        self.normal += _LONG_TERM_SMOOTHING * (seconds - (self.normal or seconds))
+        self.normal += _LONG_TERM_SMOOTHING * (
+            seconds - (self.normal or seconds)
+        )
         self.normal = self.normal or seconds
         self.seen = now
         if now - self._current.started > WINDOW_SECONDS:
@@ -96,7 +98,9 @@
         in a row, because a single pause delays all steps in flight at once.
         """
         typical = min(typical or self.normal, self.normal or typical)
-        threshold = max(MIN_SLOWDOWN_FACTOR * typical, typical + MIN_SLOWDOWN_SECONDS)
+        threshold = max(
+            MIN_SLOWDOWN_FACTOR * typical, typical + MIN_SLOWDOWN_SECONDS
+        )
         windows = (self._previous, self._current)
         return not self.is_stale(now) and all(
             window.find_mean() > threshold for window in windows
@@ -135,4 +139,6 @@
         # One stream is enough to find out whether the engine has recovered;
         # a second one would add no information and be just as slow.
         latency *= MIN_SLOWDOWN_FACTOR
-    return latency * (1 + streams / _STREAMS_FOR_DOUBLE_LATENCY) + waiting / rate
+    return (
+        latency * (1 + streams / _STREAMS_FOR_DOUBLE_LATENCY) + waiting / rate
+    )
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
@@ -55,7 +55,9 @@
     plans.sort(key=lambda plan: -plan.throughput)
     if len(machines) > _MAX_REFINED_MACHINES:
         return plans[0]
-    starts = plans[: _REFINED_PLANS if len(machines) <= _MAX_EXHAUSTIVE_SIZE else 1]
+    starts = plans[
+        : _REFINED_PLANS if len(machines) <= _MAX_EXHAUSTIVE_SIZE else 1
+    ]
     refined = [
         improve_placement(plan.placement, layers, links, 1) for plan in starts
     ]
@@ -69,7 +71,11 @@
     """
     fastest = sorted(machines, key=lambda machine: -machine.speed)
     smallest = sorted(fastest, key=lambda machine: machine.capacity)
-    return [fastest] if len(machines) > _MAX_REFINED_MACHINES else [fastest, smallest]
+    return (
+        [fastest]
+        if len(machines) > _MAX_REFINED_MACHINES
+        else [fastest, smallest]
+    )
 
 
 def _list_splits(machines: Sequence[Machine], layers: int) -> list[list[int]]:
@@ -98,8 +104,8 @@
     Weights are loaded through the rate-limited store, so a move must gain
     enough, and among equal gains the one that loads fewest layers is taken.
 
-    :param min_gain_ratio: ratio of the throughput after a move to that before it
-        which the move must exceed.
+    :param min_gain_ratio: a move must raise the throughput by more than this
+        factor.
     """
     current = placement
     throughput = bound_throughput(current, layers, links)
@@ -256,4 +262,6 @@
     """List the ranges to try: all in a small fleet, else those in use."""
     if len(placement) <= _MAX_EXHAUSTIVE_SIZE:
         return list(itertools.combinations(range(layers + 1), 2))
-    return sorted({(assignment.first, assignment.last) for assignment in placement})
+    return sorted(
+        {(assignment.first, assignment.last) for assignment in placement}
+    )
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_repair.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_repair.py
@@ -79,12 +79,16 @@
 def _find_donor(holdings: Sequence[Holding]) -> Holding | None:
     holders = _count_holders(holdings)
     redundancy = {
-        holding.name: min(holders[layer] for layer in range(holding.first, holding.last))
+        holding.name: min(
+            holders[layer] for layer in range(holding.first, holding.last)
+        )
         for holding in holdings
     }
     donors = [holding for holding in holdings if redundancy[holding.name] > 1]
     return max(
-        donors, key=lambda holding: (redundancy[holding.name], -holding.rate), default=None
+        donors,
+        key=lambda holding: (redundancy[holding.name], -holding.rate),
+        default=None,
     )
 
 
@@ -95,6 +99,8 @@
     return min(
         held,
         key=lambda pair: sum(
-            holding.rate for holding in holdings if (holding.first, holding.last) == pair
+            holding.rate
+            for holding in holdings
+            if (holding.first, holding.last) == pair
         ),
     )
