--- a/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered events, their catalogue, and the time line that keeps them."""
+"""Numbered events, their catalogue, log lines and time lines."""
 
 from ryelatch_core.events import _catalogue as catalogue
 from ryelatch_core.events._catalogue import EventKind, Level, list_kinds
--- a/packages/ryelatch-core/src/ryelatch_core/events/_catalogue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of events: every number that a log line can start with."""
+"""The catalogue of events, with the number and name of each kind."""
 
 import enum
 import inspect
@@ -7,7 +7,7 @@
 
 
 class Level(enum.Enum):
-    """How much an operator should care."""
+    """Severity of an event for an operator."""
 
     INFO = 'info'
     WARNING = 'warning'
@@ -18,9 +18,9 @@
 class EventKind:
     """One kind of event.
 
-    :param number: the stable number, grouped by hundreds.
-    :param name: the stable name.
-    :param text: what it means.
+    :param number: stable number, grouped by hundreds.
+    :param name: stable name.
+    :param text: meaning of the event.
     :param action: what an operator should do.
     """
 
@@ -31,38 +31,43 @@
     level: Level = Level.INFO
 
 
-NODE_STARTED = EventKind(1101, 'node-started', 'A node serves callers.')
+NODE_STARTED = EventKind(
+    1101, 'node-started', 'A node has started and serves clients.'
+)
 NODE_DRAINING = EventKind(
     1102,
     'node-draining',
-    'A planned stop began: not ready, answers in progress go on.',
+    'A planned stop has begun: the node reports not ready, and answers in '
+    'progress continue.',
 )
-NODE_STOPPED = EventKind(1103, 'node-stopped', 'A node ended in order.')
+NODE_STOPPED = EventKind(1103, 'node-stopped', 'A node has stopped as planned.')
 
 LINES_DROPPED = EventKind(
     1104,
     'lines-dropped',
-    'Log lines were left out, as the reader of standard output was slow or '
-    'more lines of one second came than are written.',
-    'Look at what reads the output; the counters of the metrics are whole.',
+    'Log lines were dropped, because the reader of standard output was slow '
+    'or there were more lines in one second than the limit.',
+    'Check what reads the output; the counters of the metrics are complete.',
     Level.WARNING,
 )
 SETTINGS_RELOADED = EventKind(
-    1105, 'settings-reloaded', 'The settings file was read again.'
+    1105, 'settings-reloaded', 'The settings file was reloaded.'
 )
 
 TASK_CRASHED = EventKind(
     1106,
     'task-crashed',
-    'A part of this program failed and was started again.',
-    'Report it with the line; it says where in the code.',
+    'A task of this program failed with an exception; a permanent task is '
+    'restarted.',
+    'Report it with the log line, which contains the traceback.',
     Level.ERROR,
 )
 
 SETTINGS_UNREADABLE = EventKind(
     1107,
     'settings-unreadable',
-    'The settings file has changed and could not be read; nothing changed.',
+    'The changed settings file is invalid; the previous settings stay in '
+    'force.',
     'Correct the file; the reason names the place and what was expected.',
     Level.WARNING,
 )
@@ -71,24 +76,24 @@
     1201, 'request-admitted', 'A request left the queue of its client account.'
 )
 REQUEST_ENDED = EventKind(
-    1202, 'request-ended', 'A request got its one outcome.'
+    1202, 'request-ended', 'A request has its final outcome.'
 )
 REQUEST_SHED = EventKind(
     1203,
     'request-shed',
-    'A request was given up on before it ran.',
+    'A request was rejected by a limit or under overload before it ran.',
     'If frequent for an account within its share, add upstreams.',
     Level.WARNING,
 )
 CALLER_GONE = EventKind(
     1204,
     'caller-gone',
-    'A caller closed its connection; its work upstream is cancelled.',
+    'A client closed its connection; its request is cancelled upstream.',
 )
 CALLER_REFUSED = EventKind(
     1205,
     'caller-refused',
-    'A caller or operator was refused for its key or its input.',
+    'A client or operator was refused because of its key or its input.',
     'If frequent, ask the client account whether its key was replaced.',
     Level.WARNING,
 )
@@ -97,112 +102,116 @@
     1206,
     'exchange-refused',
     'A request was refused; no upstream ran it.',
-    'The reason says which belief or limit decided; look for its last change.',
+    'The reason names the state or limit that decided; look for its last '
+    'change.',
     Level.WARNING,
 )
 EXCHANGE_SENT = EventKind(
-    1207, 'exchange-sent', 'A request was sent to an upstream or on a path.'
+    1207, 'exchange-sent', 'A request was sent to an upstream or over a path.'
 )
 EXCHANGE_FAILED = EventKind(
     1208,
     'exchange-failed',
-    'One try of a request failed; the outcome says whether it may have run.',
-    'Look at the upstream that it names.',
+    'An attempt of a request failed; the outcome says whether it may have run.',
+    'Check the upstream named in the event.',
     Level.WARNING,
 )
 EXCHANGE_ENDED = EventKind(
-    1209, 'exchange-ended', 'A request got its final answer.'
+    1209, 'exchange-ended', 'The final answer to a request is complete.'
 )
 EXCHANGE_BROKEN = EventKind(
     1210,
     'exchange-broken',
-    'An answer was cut off after its beginning had been passed on.',
-    'Look for the tries of this request that failed before.',
+    'An answer was cut off after its beginning had been sent to the client.',
+    'Look for earlier attempts of this request that failed.',
     Level.WARNING,
 )
 EXCHANGE_LEFT = EventKind(
     1211,
     'exchange-left',
-    'A client closed its connection; its work upstream is cancelled.',
+    'A client closed its connection; its request is cancelled upstream.',
 )
 
 EXCHANGE_CRASHED = EventKind(
     1212,
     'exchange-crashed',
-    'This program itself failed at a request; its connection is closed.',
-    'Report it with the line; it says where in the code.',
+    'An error of this program ended a request; its connection is closed.',
+    'Report it with the log line, which contains the traceback.',
     Level.ERROR,
 )
 
 CHAIN_CHOSEN = EventKind(
-    1301, 'chain-chosen', 'An attempt has a chain of engines.'
+    1301, 'chain-chosen', 'A chain of engines was chosen for an attempt.'
 )
 CHAIN_LOST = EventKind(
     1302,
     'chain-lost',
-    'A stage of an attempt failed; the next attempt goes on from the last '
+    'A stage of an attempt failed; the next attempt continues after the last '
     'token delivered.',
-    'Look for the reason in its fields; engines repeatedly lost need care.',
+    'See the reason in the fields; check engines that fail repeatedly.',
     Level.WARNING,
 )
 FRAME_DROPPED = EventKind(
     1303,
     'frame-dropped',
-    'A frame of an older attempt or of another request came and was dropped.',
+    'A frame of an older attempt or of another request was dropped.',
 )
 RECEIPT_REFUSED = EventKind(
     1304,
     'receipt-refused',
-    'An engine says that it ran other layers or positions than asked for.',
-    'Take the engine out and report it: it breaks the order of layers.',
+    'An engine reported that it ran other layers or positions than requested.',
+    'Remove the engine and report it: it breaks the order of layers.',
     Level.ERROR,
 )
 
 CHAIN_MOVED = EventKind(
     1305,
     'chain-moved',
-    'An answer leaves an engine that has become slower than its peers.',
-    'Look at the engine and at the link to its availability zone.',
+    'An answer is moved off an engine that has become too slow.',
+    'Check the engine and the link to its availability zone.',
     Level.WARNING,
 )
 
 STREAM_STALLED = EventKind(
     1306,
     'stream-stalled',
-    'A stream has a longer pause than its upstreams should need.',
-    'If frequent, look at the replica that the head of the path names.',
+    'A stream has paused for longer than its upstreams should need.',
+    'If frequent, check the first replica of the path.',
     Level.WARNING,
 )
 STREAM_MOVED = EventKind(
     1307,
     'stream-moved',
-    'A stream goes on over another path from the same first replica.',
+    'The first replica of a stream was commanded to continue over another '
+    'path.',
 )
 STREAM_RESUMED = EventKind(
     1308,
     'stream-resumed',
-    'A stream goes on as a new run after the last event delivered.',
+    'A stream continues as a new request after the last event delivered.',
 )
 
 UPSTREAM_UP = EventKind(1401, 'upstream-up', 'An upstream is connected.')
 UPSTREAM_DOWN = EventKind(
     1402,
     'upstream-down',
-    'An upstream refused, closed or went silent.',
-    'None if it was stopped; else look at the VM that it names.',
+    'A connection to an upstream was refused, closed or became unresponsive.',
+    'Nothing if it was stopped; else check the VM named in the event.',
     Level.WARNING,
 )
 UPSTREAM_LEAVING = EventKind(
-    1403, 'upstream-leaving', 'An upstream gets no new work from now on.'
+    1403, 'upstream-leaving', 'An upstream is leaving and gets no new requests.'
 )
 
 REPLICA_LISTED = EventKind(
-    1411, 'replica-listed', 'A replica is in the registry, or changed there.'
+    1411,
+    'replica-listed',
+    'A replica was added to the registry, or its entry changed.',
 )
 REPLICA_LEAVING = EventKind(
     1412,
     'replica-leaving',
-    'A replica said that it will stop; it gets no new work from now on.',
+    'A replica announced that it will stop; it gets no new requests.',
 )
 REPLICA_GONE = EventKind(
     1413, 'replica-gone', 'A replica is no longer in the registry.'
@@ -210,120 +219,120 @@
 REPLICA_SUSPECTED = EventKind(
     1414,
     'replica-suspected',
-    'A replica failed in a way that keeps work from it for a while.',
-    'If it stays listed and is suspected again and again, look at it.',
+    'A replica failed and gets no new requests for a while.',
+    'If it stays listed and is suspected repeatedly, check it.',
     Level.WARNING,
 )
 
 REPLICA_SLOW = EventKind(
     1425,
     'replica-slow',
-    'A replica said that its passes take longer than those of its kind.',
-    'Paths avoid it for some seconds. If it stays slow, look at it.',
+    'A replica reported longer step times than others of its kind.',
+    'Paths avoid it for some seconds. If it stays slow, check it.',
     Level.WARNING,
 )
 REPLICA_LIMITED = EventKind(
     1426,
     'replica-limited',
-    'A replica named how many requests a second it takes from all nodes.',
-    'It is short of something. If it says so for long, look at it.',
+    'A replica set a limit of requests per second from all nodes together.',
+    'It is short of resources. If the limit stays for long, check it.',
     Level.WARNING,
 )
 REPLICA_UNLIMITED = EventKind(
-    1427, 'replica-unlimited', 'A replica names no limit any more.'
+    1427, 'replica-unlimited', 'A replica no longer sets a limit.'
 )
 LIMIT_UNREADABLE = EventKind(
     1428,
     'limit-unreadable',
-    'A replica named a limit that can not be read; the one before stands.',
-    'Look at the software of that replica.',
+    'A replica sent an invalid limit; the previous one stays in force.',
+    'Check the software of the replica.',
     Level.WARNING,
 )
 LIMITER_LEFT = EventKind(
     1429,
     'limiter-left',
-    'A node did not answer a question for a permit; another one is asked.',
-    'If it comes often, look at the links between the nodes.',
+    'A node did not respond to a permit request; another node is asked.',
+    'If frequent, check the links between the nodes.',
     Level.WARNING,
 )
 PERMIT_DENIED = EventKind(
     1430,
     'permit-denied',
-    'A replica that named a limit takes no more now; another one is chosen.',
+    'A replica has reached its limit for now; another replica is chosen.',
 )
 REPLICA_BACKOFF = EventKind(
     1431,
     'replica-backoff',
-    'A replica turned a request away and wants nothing from this node for '
-    'some seconds.',
-    'If it does so again and again, look at it.',
+    'A replica refused a request and asked this node to send none for some '
+    'seconds.',
+    'If it does so repeatedly, check it.',
     Level.WARNING,
 )
 BACKOFF_UNREADABLE = EventKind(
     1432,
     'backoff-unreadable',
-    'A replica turned a request away until a time that can not be read.',
-    'Look at the software of that replica.',
+    'A replica refused a request with an invalid retry time.',
+    'Check the software of the replica.',
     Level.WARNING,
 )
 REPLICA_LAPSED = EventKind(
     1415,
     'replica-lapsed',
-    'An entry went when the store had left a call unanswered; it may come '
-    'back and is kept for as long as the line says.',
+    'An entry disappeared after the store had left a call unanswered; it may '
+    'return and is kept for the time in the event.',
 )
 REPLICA_ENDED = EventKind(
     1416,
     'replica-ended',
-    'A replica has started again, or another one has its address.',
+    'A replica was restarted, or its address belongs to another one now.',
 )
 REPLICA_RETURNED = EventKind(
     1418,
     'replica-returned',
-    'An entry that was missing after an outage of the store is back.',
+    'An entry that was missing after a store outage has returned.',
 )
 REGISTRY_STALE = EventKind(
     1419,
     'registry-stale',
-    'The list of replicas is older than it may be for those that leave.',
+    'The list of replicas is too old to notice replicas that are leaving.',
     'Look for store-out and watcher-left at this node.',
     Level.WARNING,
 )
 REGISTRY_FRESH = EventKind(
-    1420, 'registry-fresh', 'The list of replicas is as new as it should be.'
+    1420, 'registry-fresh', 'The list of replicas is up to date again.'
 )
 ENTRY_REFUSED = EventKind(
     1417,
     'entry-refused',
-    'An entry of the registry can not be read; it names no replica to use.',
-    'Find out who wrote it; replicas write entries that can be read.',
+    'An entry of the registry is invalid, so its replica is not used.',
+    'Find out who wrote it; replicas write valid entries.',
     Level.WARNING,
 )
 
 REQUEST_SUSPECTED = EventKind(
     1422,
     'request-suspected',
-    'A replica ended just as it began to run a request, or while it waited.',
-    'None; if the same digest comes with other replicas, it is refused.',
+    'A replica crashed when it started a request, or while it waited.',
+    'Nothing; if other replicas crash for the same digest, it is refused.',
     Level.WARNING,
 )
 REQUEST_QUARANTINED = EventKind(
     1423,
     'request-quarantined',
-    'Three replicas ended under a request, which is refused from now on.',
+    'Three replicas crashed on a request, which is refused from now on.',
     'Find the request by its digest and report it with the replicas; delete '
-    'its object from the store to let it in again.',
+    'its object from the store to admit it again.',
     Level.WARNING,
 )
 REQUEST_RELEASED = EventKind(
-    1424, 'request-released', 'A request that was refused is let in again.'
+    1424, 'request-released', 'A request that was refused is admitted again.'
 )
 REPORT_DOUBTFUL = EventKind(
     1421,
     'report-doubtful',
-    'A report was read late as this process stood still; that is not held '
-    'against the replica.',
-    'If it comes often, give the VM more processor time.',
+    'A report was read late because this process was paused; the replica is '
+    'not suspected for it.',
+    'If frequent, give the VM more processor time.',
     Level.WARNING,
 )
 
@@ -333,15 +342,17 @@
 CLAIM_FOUND = EventKind(
     1502,
     'claim-found',
-    'An idempotency key was claimed before; its request is not sent again.',
+    'An idempotency key was already claimed; its request is not repeated.',
 )
 CLAIM_SETTLED = EventKind(
-    1503, 'claim-settled', 'The outcome of a claimed key was recorded.'
+    1503,
+    'claim-settled',
+    'The outcome for a claimed idempotency key was recorded.',
 )
 CLAIM_FAILED = EventKind(
     1504,
     'claim-failed',
-    'A claim could not be made or settled, as the store did not answer.',
+    'A claim could not be made or settled because the store did not respond.',
     'See the page on outages of the store.',
     Level.WARNING,
 )
@@ -352,35 +363,36 @@
 SETTINGS_UNCONFIRMED = EventKind(
     1602,
     'settings-unconfirmed',
-    'A node started on the settings of its peers; the store was out.',
-    'Nothing; it confirms them when the store is back.',
+    'A node started with the settings of its peers, as the store was '
+    'unavailable.',
+    'Nothing; it confirms them when the store is available again.',
     Level.WARNING,
 )
 SETTINGS_IGNORED = EventKind(
     1603,
     'settings-ignored',
-    'An older revision than the one in force came and was ignored.',
+    'A revision older than the one in force was received and ignored.',
 )
 SETTINGS_REFUSED = EventKind(
     1604,
     'settings-refused',
-    'A revision could not be read whole; the one in force stays.',
+    'A revision was incomplete or invalid; the previous one stays in force.',
     'Apply the settings again with a command line of this version.',
     Level.ERROR,
 )
 STORE_OUT = EventKind(
     1605,
     'store-out',
-    'The platform service does not answer.',
+    'The store does not respond.',
     'See the page on outages of the store.',
     Level.WARNING,
 )
-STORE_BACK = EventKind(1606, 'store-back', 'The platform service answers.')
+STORE_BACK = EventKind(1606, 'store-back', 'The store responds again.')
 STORE_CALL_CUT = EventKind(
     1607,
     'store-call-cut',
-    'A call to the platform service lost its connection, as watches that '
-    'wait may; a short call follows, which tells whether it is out.',
+    'A call to the store lost its connection, which is normal for a waiting '
+    'watch; a short call follows to check whether the store is available.',
 )
 
 CONFIGURATION_APPLIED = EventKind(
@@ -389,34 +401,40 @@
 CONFIGURATION_REFUSED = EventKind(
     1612,
     'configuration-refused',
-    'A version could not be read, or is older than the one in force.',
+    'A version is invalid, or older than the one in force.',
     'Compare the version with what the operators wrote.',
     Level.WARNING,
 )
 CONFIGURATION_STALE = EventKind(
     1613,
     'configuration-stale',
-    'The configuration is unconfirmed for so long that keys are refused.',
-    'Look at the path from this VM to the store.',
+    'The configuration has been unconfirmed for so long that keys are refused.',
+    'Check the network from this VM to the store.',
     Level.WARNING,
 )
 CONFIGURATION_FRESH = EventKind(
-    1614, 'configuration-fresh', 'Keys are accepted again.'
+    1614,
+    'configuration-fresh',
+    'The configuration is confirmed; keys are accepted again.',
 )
 HISTORY_LOST = EventKind(
     1615,
     'history-lost',
-    'The store dropped the history that a watch needs; it is listed anew.',
+    'The store dropped the history that a watch needs; the objects are '
+    'listed anew.',
 )
 
-PEER_UP = EventKind(1701, 'peer-up', 'A stream to a peer node is open.')
+PEER_UP = EventKind(1701, 'peer-up', 'A connection to a peer node was opened.')
 PEER_DOWN = EventKind(
-    1702, 'peer-down', 'A stream to a peer node closed or went silent.'
+    1702,
+    'peer-down',
+    'A connection to a peer node was closed or became unresponsive.',
 )
 PEER_REFUSED = EventKind(
     1703,
     'peer-refused',
-    'A process without the right key asked to be a peer, or sent bad frames.',
+    'A process without the right key tried to connect as a peer, or sent '
+    'invalid frames.',
     'Find out who connects to the peer port.',
     Level.WARNING,
 )
@@ -424,41 +442,44 @@
 WATCHER_LEFT = EventKind(
     1704,
     'watcher-left',
-    'A peer that watches the store for this node was of no use; the store is '
-    'asked for some seconds.',
+    'A peer that watches the store for this node did not provide changes; '
+    'this node queries the store itself for some seconds.',
 )
 
 NODE_GREETED = EventKind(
     1706,
     'node-greeted',
-    'A peer that started while the store is out was told which nodes there '
-    'are.',
+    'This node sent the list of nodes to a peer that started during a store '
+    'outage.',
 )
 
 GREETING_TAKEN = EventKind(
     1707,
     'greeting-taken',
-    'A peer told this node which nodes there are, as the store is out.',
+    'This node received the list of nodes from a peer during a store outage.',
 )
 
 NODE_COSTS = EventKind(
     1705,
     'node-costs',
-    'What this process has spent so far on calls, questions and work.',
+    'Calls, requests and processor time of this process since its start.',
 )
 
-LEASE_TAKEN = EventKind(1801, 'lease-taken', 'This node holds a duty.')
+LEASE_TAKEN = EventKind(
+    1801, 'lease-taken', 'This node holds the lease of a task.'
+)
 LEASE_LOST = EventKind(
-    1802, 'lease-lost', 'This node gave back or lost a duty.'
+    1802, 'lease-lost', 'This node released or lost the lease of a task.'
 )
 ORDER_SENT = EventKind(
-    1803, 'order-sent', 'An engine was told to hold other layers.'
+    1803, 'order-sent', 'An engine was commanded to hold other layers.'
 )
 ORDER_REFUSED = EventKind(
     1804,
     'order-refused',
-    'An engine refused an order, or it was not sent as the lease had lapsed.',
-    'Nothing, if another node holds the duty by now.',
+    'An engine refused a command, or the command was not sent because the '
+    'lease had expired.',
+    'Nothing if another node holds the lease by now.',
     Level.WARNING,
 )
 
@@ -466,8 +487,8 @@
 ORDER_UNANSWERED = EventKind(
     1805,
     'order-unanswered',
-    'An order got no answer; it may be carried out, now or later.',
-    'Nothing; the next order expects the state from before this one.',
+    'A command got no response; it may be carried out, now or later.',
+    'Nothing; the next command expects the state from before this one.',
     Level.WARNING,
 )
 
--- a/packages/ryelatch-core/src/ryelatch_core/events/_clock.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_clock.py
@@ -8,9 +8,9 @@
 
 
 class Stamp(NamedTuple):
-    """A point on the time line of all processes.
+    """A point in the common order of events of all processes.
 
-    :param wall: milliseconds since the epoch, never behind a cause.
+    :param wall: milliseconds since the epoch, never less than that of a cause.
     :param tick: orders events of the same millisecond.
     """
 
@@ -19,20 +19,20 @@
 
 
 class HybridClock:
-    """Stamps that grow in this process and after each stamp seen."""
+    """Issues stamps that increase with each one issued or received."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._last = Stamp(0, 0)
 
     def stamp(self) -> Stamp:
-        """Take the next stamp for an event of this process."""
+        """Issue the next stamp for an event of this process."""
         return self.observe(Stamp(0, 0))
 
-    def observe(self, seen: Stamp) -> Stamp:
-        """Take the next stamp after one that another process sent."""
+    def observe(self, received: Stamp) -> Stamp:
+        """Issue the next stamp after one received from another process."""
         now = Stamp(int(self._clock.wall() * _MILLISECONDS), 0)
-        latest = max(self._last, seen)
+        latest = max(self._last, received)
         if now.wall > latest.wall:
             self._last = now
         else:
--- a/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
@@ -1,4 +1,4 @@
-"""Tells from the log lines of all processes what became of a request."""
+"""Explains the outcome of a request from the log lines of all processes."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -6,13 +6,13 @@
 from types import MappingProxyType
 from typing import Any
 
-BEFORE_SECONDS = 3.0
-"""How long before a request changes of belief are taken to matter.
+LOOKBACK_SECONDS = 3.0
+"""How long before a request changes of state are considered relevant.
 
-An outage of the store shows at a request three seconds later at the latest.
+An outage of the store affects requests three seconds later at the latest.
 """
 
-_BELIEFS = frozenset(
+_STATE_CHANGES = frozenset(
     (
         'store-out',
         'store-back',
@@ -43,10 +43,10 @@
     )
 )
 
-_ENDS = frozenset(
+_QUARANTINE_EVENTS = frozenset(
     ('request-suspected', 'request-quarantined', 'request-released')
 )
-"""What is known of all requests that ask for the same, at any process."""
+"""Events about all requests with the same digest, at any process."""
 
 _CAUSES = MappingProxyType(
     {
@@ -55,16 +55,16 @@
             'whether the key was still valid'
         ),
         'layers are missing': 'no replica held some layers of the model',
-        'all paths are full': 'every path had a replica without room',
-        'no upstream has room': 'every replica of the service refused it',
+        'all paths are full': 'every path had a replica at its limit',
+        'no upstream has room': 'all replicas of the service refused it',
         'the answer was lost': (
-            'an upstream took the request and its answer did not come back'
+            'an upstream received the request, but its answer was not received'
         ),
         'replicas ended under this request': (
-            'replicas had ended that began to run what it asks for, so it is '
-            'kept from others; see request-suspected for each of them'
+            'replicas had crashed that started this request, so it is not sent '
+            'to others; see request-suspected for each of them'
         ),
-        'the time is over': 'no answer came within the time of its route',
+        'the time is over': 'no answer came within the timeout of the route',
         'this node stops': 'the node was at the end of its planned stop',
         'no configuration yet': 'the node had just started',
         'no registry yet': 'the node had just started',
@@ -79,6 +79,7 @@
     """A log line.
 
     :param time: seconds since the epoch, by the clock of its VM.
+    :param detail: all fields of the line.
     """
 
     time: float
@@ -89,11 +90,13 @@
 
 @dataclass(frozen=True)
 class Story:
-    """What became of a request.
+    """The outcome of a request with the events that led to it.
 
-    :param lines: of the request itself, in order.
-    :param beliefs: changes at the same process shortly before and meanwhile.
-    :param cause: the likely cause of its end, in a sentence.
+    :param lines: lines of the request itself, in order of time.
+    :param beliefs: lines about state changes of the same process shortly
+        before and during the request, and about replicas that crashed on
+        requests with the same digest.
+    :param cause: likely cause of the outcome, in a sentence.
     """
 
     lines: tuple[Line, ...]
@@ -102,7 +105,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Read the lines of one or more processes; other text is passed over."""
+    """Parse the log lines of one or more processes; other text is skipped."""
     for text in texts:
         start = text.find('{"time"')
         if start < 0:
@@ -115,73 +118,88 @@
 
 
 def explain_request(lines: Iterable[Line], request: str) -> Story | None:
-    """Find the story of a request.
+    """Explain the outcome of a request.
 
-    :returns: nothing if no line names it.
+    :param request: id of the request.
+    :returns: ``None`` if no line names the request.
     """
     ordered = sorted(lines, key=lambda line: line.time)
-    own = tuple(
+    request_lines = tuple(
         line for line in ordered if line.detail.get('request') == request
     )
-    if not own:
+    if not request_lines:
         return None
     beliefs = tuple(
         line
         for line in ordered
-        if line.time <= own[-1].time
-        and (_was_believed(line, own) or _asks_the_same(line, own))
+        if line.time <= request_lines[-1].time
+        and (
+            _is_relevant_change(line, request_lines)
+            or _has_same_digest(line, request_lines)
+        )
     )
-    cause = _find_cause(own, beliefs) + _tell_missing(own)
-    return Story(own, beliefs, cause)
+    cause = _find_cause(request_lines, beliefs) + _describe_missing(
+        request_lines
+    )
+    return Story(request_lines, beliefs, cause)
 
 
-def _was_believed(line: Line, own: tuple[Line, ...]) -> bool:
-    """Whether a line tells of a change at a request's process by then."""
+def _is_relevant_change(line: Line, request_lines: tuple[Line, ...]) -> bool:
+    """Return whether a line is a relevant state change at the same process."""
     return (
-        line.name in _BELIEFS
-        and line.time >= own[0].time - BEFORE_SECONDS
-        and line.process in {one.process for one in own}
+        line.name in _STATE_CHANGES
+        and line.time >= request_lines[0].time - LOOKBACK_SECONDS
+        and line.process in {one.process for one in request_lines}
     )
 
 
-def _asks_the_same(line: Line, own: tuple[Line, ...]) -> bool:
-    """Whether a line tells of replicas that ended under the same."""
-    digests = {one.detail.get('digest') for one in own} - {None, ''}
-    return line.name in _ENDS and line.detail.get('digest') in digests
+def _has_same_digest(line: Line, request_lines: tuple[Line, ...]) -> bool:
+    """Return whether a line is about crashes on requests of the same digest."""
+    digests = {one.detail.get('digest') for one in request_lines} - {None, ''}
+    return (
+        line.name in _QUARANTINE_EVENTS and line.detail.get('digest') in digests
+    )
 
 
-def _find_cause(own: tuple[Line, ...], beliefs: tuple[Line, ...]) -> str:
+def _find_cause(
+    request_lines: tuple[Line, ...], beliefs: tuple[Line, ...]
+) -> str:
     reasons = [
         str(line.detail.get('reason'))
-        for line in own
+        for line in request_lines
         if line.name == 'exchange-refused'
     ]
     if reasons:
         reason = reasons[-1].partition(',')[0]
-        return _add_belief(_CAUSES.get(reason, reasons[-1]), beliefs)
-    failed = [line for line in own if line.name == 'exchange-failed']
-    last = own[-1].name
+        return _add_last_change(_CAUSES.get(reason, reasons[-1]), beliefs)
+    failed = [line for line in request_lines if line.name == 'exchange-failed']
+    last = request_lines[-1].name
     if last == 'exchange-left':
         return 'the client closed its connection'
     if failed:
         where = failed[-1].detail
         what = where.get('reason') or f'status {where.get("status")}'
-        told = f'replica {where.get("replica")} failed it: {what}'
-        return _add_belief(told, beliefs)
+        message = f'replica {where.get("replica")} failed the attempt: {what}'
+        return _add_last_change(message, beliefs)
     if last == 'exchange-ended':
         return 'it was answered'
-    return 'its end is not in these lines'
+    return 'its outcome is not in these lines'
 
 
-def _tell_missing(own: tuple[Line, ...]) -> str:
-    """Say so if a replica was chosen whose entry was missing by then."""
-    seconds = max((line.detail.get('missing', 0) for line in own), default=0)
+def _describe_missing(request_lines: tuple[Line, ...]) -> str:
+    """Describe for how long the entry of a chosen replica was missing.
+
+    :returns: an empty string if no entry was missing.
+    """
+    seconds = max(
+        (line.detail.get('missing', 0) for line in request_lines), default=0
+    )
     if not seconds:
         return ''
-    return f'; it went to a replica whose entry was missing for {seconds} s'
+    return f'; it was sent to a replica whose entry was missing for {seconds} s'
 
 
-def _add_belief(cause: str, beliefs: tuple[Line, ...]) -> str:
+def _add_last_change(cause: str, beliefs: tuple[Line, ...]) -> str:
     if not beliefs:
         return cause
     line = beliefs[-1]
@@ -189,7 +207,7 @@
 
 
 def count_reasons(lines: Iterable[Line]) -> dict[str, int]:
-    """Count why requests were refused, failed or broken."""
+    """Count the reasons why requests were refused or attempts failed."""
     counts: dict[str, int] = {}
     for line in lines:
         if line.name in {'exchange-refused', 'exchange-failed'}:
--- a/packages/ryelatch-core/src/ryelatch_core/events/_lines.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_lines.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and never blocking."""
+"""Structured log lines on standard output, bounded and non-blocking."""
 
 import json
 import os
@@ -9,30 +9,30 @@
 from ryelatch_core.events._catalogue import LINES_DROPPED, EventKind, Level
 from ryelatch_core.kernel import Clock
 
-QUEUED_LINES = 2000
-"""Lines kept while the reader of standard output is slow.
+MAX_QUEUED_LINES = 2000
+"""Number of lines kept while the reader of standard output is slow.
 
 About half a megabyte, and ten seconds of a node's lines at peak load.
 """
 
-LINES_PER_SECOND = 300
-"""Lines of level ``info`` written in a second; warnings are not limited.
+MAX_LINES_PER_SECOND = 300
+"""Lines of level ``info`` written per second; other levels are not limited.
 
-A node's share of the peak is 20 requests a second with 3 lines each. The
-rest is for restarts, when all that is believed changes at once.
+A node's share of the peak load is 20 requests per second with 3 lines each.
+The rest is for restarts, when all entries of the node's view change at once.
 """
 
 
 class LineLog:
-    """Writes one JSON line for each decision or change of belief.
+    """Writes one JSON line for each decision or change of the node's view.
 
-    A reader of standard output that has stopped must not stop the router:
-    the descriptor is set not to block, lines wait in a bounded queue, and
-    when that is full lines are dropped and counted. The count is written
-    with the next line that gets through.
+    A stalled reader of standard output must not block the router: the file
+    descriptor is non-blocking, lines wait in a bounded queue, and when the
+    queue is full further lines are dropped and counted. The count is reported
+    in a line once there is space in the queue again.
 
-    :param process: name of this process, in each line.
-    :param write: takes bytes and tells how many it took; may raise
+    :param process: name of this process, written in each line.
+    :param write: writes bytes and returns how many it accepted; may raise
         ``BlockingIOError``.
     """
 
@@ -54,8 +54,8 @@
     def record(self, kind: EventKind, /, **detail: Any) -> None:
         """Write a line.
 
-        :param detail: what decided it, with ages and versions, and the
-            outcome; anything that JSON can hold.
+        :param detail: the state that a decision is based on, with ages and
+            versions, and its outcome; any values that JSON can represent.
         """
         self.counts[kind.name] += 1
         if not self._admit(kind):
@@ -65,28 +65,28 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as many of the waiting lines as the reader takes."""
+        """Write as many of the waiting lines as the reader accepts."""
         while self._queue:
             line = self._queue[0]
             try:
-                taken = self._write(line)
+                accepted = self._write(line)
             except BlockingIOError:
                 return
-            if taken < len(line):
-                self._queue[0] = line[taken:]
+            if accepted < len(line):
+                self._queue[0] = line[accepted:]
                 return
             self._queue.popleft()
 
     def report_dropped(self) -> None:
-        """Tell how many lines were left out since the last report."""
-        if self.dropped and len(self._queue) < QUEUED_LINES:
+        """Write a line with the number of lines dropped since the last one."""
+        if self.dropped and len(self._queue) < MAX_QUEUED_LINES:
             count = self.dropped
             self.dropped = 0
             self._queue.append(self._render(LINES_DROPPED, {'lines': count}))
             self.flush()
 
     def _admit(self, kind: EventKind) -> bool:
-        if len(self._queue) >= QUEUED_LINES:
+        if len(self._queue) >= MAX_QUEUED_LINES:
             return False
         if kind.level is not Level.INFO:
             return True
@@ -95,7 +95,7 @@
             self._second = second
             self._written = 0
         self._written += 1
-        return self._written <= LINES_PER_SECOND
+        return self._written <= MAX_LINES_PER_SECOND
 
     def _render(self, kind: EventKind, detail: dict[str, Any]) -> bytes:
         line = {
@@ -112,7 +112,10 @@
 
 
 def open_stdout() -> Callable[[bytes], int]:
-    """Make standard output a place to write lines to without blocking."""
+    """Make standard output non-blocking.
+
+    :returns: a function that writes bytes and returns how many were accepted.
+    """
     descriptor = 1
     os.set_blocking(descriptor, False)
 
--- a/packages/ryelatch-core/src/ryelatch_core/events/_supervision.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the parts of a process running."""
+"""Restarts the permanent tasks of a process after failures."""
 
 import asyncio
 import traceback
@@ -8,10 +8,10 @@
 from ryelatch_core.events._lines import LineLog
 
 RESTART_SECONDS = 0.2
-"""Pause before a part that failed is started again.
+"""Pause before a failed task is restarted.
 
-Long enough that one that fails at once costs little, and short beside every
-bound that the parts have to keep.
+Long enough that a task which always fails at once uses few resources, and
+short compared with every deadline that the tasks have to meet.
 """
 
 
@@ -20,11 +20,13 @@
     work: Callable[[], Awaitable[None]],
     log: LineLog,
 ) -> None:
-    """Run a part of a process for good, and again whenever it fails.
+    """Run a permanent task, and restart it whenever it fails.
 
-    A task that ends by an error nobody awaits ends in silence. The process
-    then serves on with what it believed, and nothing shows until a change
-    that it should have heard of is in force everywhere else.
+    An exception in a task that nothing awaits would go unnoticed. The process
+    would continue with outdated state, and the failure would only show when a
+    change that it missed is in force everywhere else.
+
+    :param name: name of the task, for the log.
     """
     while True:
         try:
--- a/packages/ryelatch-core/src/ryelatch_core/events/_timeline.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_timeline.py
@@ -1,4 +1,4 @@
-"""The bounded memory of what a process did."""
+"""The bounded in-memory record of the events of a process."""
 
 import itertools
 from collections import Counter, deque
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True)
 class Event:
-    """Something that happened in one process.
+    """An event in one process.
 
-    :param stamp: its place on the common time line.
-    :param process: the name of the process.
-    :param detail: fields by name; all are text.
+    :param stamp: position in the common order of events.
+    :param process: name of the process.
+    :param detail: fields by name, all as text.
     """
 
     stamp: Stamp
@@ -39,10 +39,10 @@
 
 
 class Timeline:
-    """Records events in a ring, counts them, and logs them.
+    """Records events in a ring buffer, counts them, and logs them.
 
-    VMs keep nothing, so what the ring holds is lost with the process, and
-    what must outlive it is read by ``ryelatch timeline`` before.
+    VMs have no persistent storage, so the events are lost with the process
+    unless ``ryelatch timeline`` reads them before.
     """
 
     def __init__(self, process: str, clock: HybridClock) -> None:
@@ -54,7 +54,7 @@
     def record(self, kind: EventKind, **detail: object) -> Event:
         """Add an event.
 
-        :param detail: the fields that make this event tell its story.
+        :param detail: fields that describe the event.
         """
         texts = {name: str(entry) for name, entry in detail.items()}
         event = Event(
@@ -67,7 +67,7 @@
         return event
 
     def list_events(self, **wanted: str) -> list[Event]:
-        """List the events whose fields have the given texts."""
+        """List the events whose fields have the given values."""
         return [
             event
             for event in self._ring
@@ -78,7 +78,7 @@
 
 
 def merge_events(lists: Iterable[Iterable[Event]]) -> list[Event]:
-    """Merge the events of several processes into one line of time."""
+    """Merge the events of several processes in their common order."""
     return sorted(
         itertools.chain.from_iterable(lists),
         key=lambda event: (event.stamp, event.process),
--- a/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
@@ -1,4 +1,4 @@
-"""What processes spend on control: calls, questions, processor time."""
+"""Resource usage of processes: calls, requests and processor time."""
 
 import contextlib
 import time
@@ -11,68 +11,76 @@
 from ryelatch_core.events._explanation import Line
 
 PROCESS = 'process'
-"""The activity that stands for all of a process's time since its start."""
+"""Activity that denotes all processor time of a process since its start."""
 
 _DIGITS = 4
-_LIFE_DIGITS = 8
+_INCARNATION_DIGITS = 8
 
 
 @dataclass(eq=False)
 class CostBook:
-    """Counts what is spent, each count by a name of its parts.
+    """Counts the operations and the processor time of a process.
 
-    Parts are joined by a slash, the most general one first, such as
-    ``store/servers/watch/steady/empty``; a fleet's table is made of them.
+    The name of a count consists of parts joined by slashes, the most general
+    part first, such as ``store/servers/watch/steady/empty``. The usage of a
+    fleet is summed and listed by these names.
 
-    :param clock: processor time of the process, in seconds.
-    :param life: tells processes of one name apart that followed each other.
+    :param clock: returns the processor time of the process, in seconds.
+    :param life: identifier of this run of the process, which differs from
+        that of earlier processes with the same name.
     """
 
     clock: Callable[[], float] = time.process_time
-    life: str = field(default_factory=lambda: uuid.uuid4().hex[:_LIFE_DIGITS])
+    life: str = field(
+        default_factory=lambda: uuid.uuid4().hex[:_INCARNATION_DIGITS]
+    )
     counts: Counter[str] = field(default_factory=Counter)
     seconds: dict[str, float] = field(
         default_factory=lambda: defaultdict(float)
     )
 
     def __post_init__(self) -> None:
-        """Begin to count the processor time."""
-        self._began = self.clock()
+        """Record the processor time at the start."""
+        self._started = self.clock()
 
     def count(self, *parts: str, number: int = 1) -> None:
-        """Count something that was done."""
+        """Increase a count.
+
+        :param parts: parts of its name.
+        """
         self.counts['/'.join(parts)] += number
 
     @contextlib.contextmanager
     def spend(self, activity: str) -> Iterator[None]:
-        """Add the processor time of a block that does not wait.
+        """Add the processor time of a block, which must not await anything.
 
-        :param activity: what it is spent on.
+        :param activity: name of the activity that the time is added to.
         """
-        began = self.clock()
+        started = self.clock()
         try:
             yield
         finally:
-            self.seconds[activity] += self.clock() - began
+            self.seconds[activity] += self.clock() - started
 
     def list_counts(self) -> dict[str, int]:
-        """List all counts by name."""
+        """Return all counts by name."""
         return dict(sorted(self.counts.items()))
 
     def list_seconds(self) -> dict[str, float]:
-        """List the processor time by activity, and of the whole process."""
+        """Return the processor time by activity, and that of the process."""
         spent = {
             name: round(spent, _DIGITS)
             for name, spent in sorted(self.seconds.items())
         }
-        return {**spent, PROCESS: round(self.clock() - self._began, _DIGITS)}
+        return {**spent, PROCESS: round(self.clock() - self._started, _DIGITS)}
 
 
 @dataclass(frozen=True)
 class FleetCosts:
-    """What all processes together have spent.
+    """Resource usage of all processes together.
 
-    :param lives: processes that wrote what they spent, restarts included.
+    :param lives: number of process runs that reported their usage; each
+        restart counts as a new run.
     """
 
     lives: int
@@ -81,9 +89,10 @@
 
 
 def sum_costs(lines: Iterable[Line]) -> FleetCosts:
-    """Add up the last account of each life of each process.
+    """Sum the last usage line of each run of each process.
 
-    A life that was killed is counted up to its last line.
+    Each line holds the totals since the start of the process. The usage of a
+    killed process is counted up to its last line.
     """
     latest = {
         (line.process, line.detail.get('life')): line.detail
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services by name, an event hub, a clock."""
+"""The micro-kernel: named services, a message hub and clocks."""
 
 from ryelatch_core.kernel._app import App, Service
 from ryelatch_core.kernel._clock import BootClock, Clock, SystemClock
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_app.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_app.py
@@ -1,4 +1,4 @@
-"""The application object that carries all services of a process."""
+"""The application object that holds all services of a process."""
 
 import random
 from collections.abc import Awaitable, Callable, Iterable
@@ -14,16 +14,16 @@
 
 
 async def _do_nothing() -> None:
-    """Start or stop a service that needs neither."""
+    """Start or stop a service that needs no action for it."""
 
 
 @dataclass(frozen=True)
 class Service:
-    """A named part of the application.
+    """A named service of the application.
 
-    :param name: the name by which other services find it.
-    :param state: the object that others get.
-    :param needs: names of services started before and stopped after it.
+    :param name: name by which other services find it.
+    :param state: object that other services get.
+    :param needs: names of the services that start before it and stop after it.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 class App:
-    """Registry, hub, clock and random source of one process."""
+    """Service registry, hub, clock and random source of one process."""
 
     def __init__(
         self,
@@ -48,10 +48,10 @@
         self._running: list[Service] = []
 
     def load(self, setups: Iterable[Callable[['App'], None]]) -> None:
-        """Let each extension add its services.
+        """Call the setup functions of extensions, which add their services.
 
-        :param setups: the ``setup(app)`` functions, in any order that lets
-            each find what it looks up while it is being set up.
+        :param setups: the ``setup(app)`` functions; a service that one of
+            them looks up must have been added by an earlier one.
         """
         for setup in setups:
             setup(self)
@@ -59,17 +59,18 @@
     def add(self, service: Service) -> None:
         """Register a service.
 
-        :raises KernelError: if the name is taken.
+        :raises KernelError: if a service with this name exists.
         """
         if service.name in self._services:
             raise KernelError(f'service {service.name!r} exists already')
         self._services[service.name] = service
 
     def find(self, name: str, kind: type[_State]) -> _State:
-        """Find the state of a service by name.
+        """Return the state of a service.
 
-        :param kind: the class that the caller expects.
-        :raises KernelError: if it is missing or of another class.
+        :param kind: expected class of the state.
+        :raises KernelError: if the service is missing or its state is of
+            another class.
         """
         service = self._services.get(name)
         if service is None or not isinstance(service.state, kind):
@@ -77,7 +78,10 @@
         return service.state
 
     async def start(self) -> None:
-        """Start all services, each after those that it needs."""
+        """Start all services, each after those that it needs.
+
+        :raises KernelError: if a needed service is missing.
+        """
         graph = {
             service.name: service.needs for service in self._services.values()
         }
@@ -89,6 +93,6 @@
             self._running.append(service)
 
     async def stop(self) -> None:
-        """Stop what was started, in the opposite order."""
+        """Stop all started services in reverse order."""
         while self._running:
             await self._running.pop().stop()
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_clock.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_clock.py
@@ -1,17 +1,17 @@
-"""Time, replaceable in tests."""
+"""Clocks, which tests can replace."""
 
 import time
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """A source of time; decisions get it as an argument."""
+    """A source of time, passed as an argument to code that depends on it."""
 
     def wall(self) -> float:
         """Seconds since the epoch, comparable between processes."""
 
     def monotonic(self) -> float:
-        """Seconds that never go back, of this process only."""
+        """Seconds that never decrease, valid in this process only."""
 
 
 class SystemClock:
@@ -29,10 +29,10 @@
 class BootClock(SystemClock):
     """The clock of a machine that may be suspended.
 
-    The monotonic clock stands still meanwhile. Whoever measures by it how
-    old a belief is takes a belief from before a suspension for a fresh one.
+    The monotonic clock stops during a suspension, so state from before it
+    would be taken for fresh if its age were measured by that clock.
     """
 
     def monotonic(self) -> float:
-        """Seconds since the machine started, with those suspended."""
+        """Seconds since the machine started, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_errors.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_errors.py
@@ -2,4 +2,4 @@
 
 
 class KernelError(Exception):
-    """A service is missing, doubled, or of another kind than asked for."""
+    """A service is missing, added twice, or of an unexpected class."""
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_hub.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_hub.py
@@ -8,7 +8,7 @@
 
 
 class Hub:
-    """Hands each message to the handlers connected to its class."""
+    """Passes each message to the handlers connected to its class."""
 
     def __init__(self) -> None:
         self._handlers: dict[type[Any], list[Callable[[Any], None]]] = (
@@ -20,14 +20,15 @@
         kind: type[_Message],
         handler: Callable[[_Message], None],
     ) -> None:
-        """Call the handler for each message of a class.
+        """Connect a handler to a class of messages.
 
-        :param kind: the exact class of message.
-        :param handler: called in the order of connecting; must not block.
+        :param kind: exact class of the messages; subclasses do not count.
+        :param handler: called for each message, in the order in which handlers
+            were connected; must not block.
         """
         self._handlers[kind].append(handler)
 
     def emit(self, message: object) -> None:
-        """Hand a message to its handlers before returning."""
+        """Call all handlers of a message before returning."""
         for handler in self._handlers[type(message)]:
             handler(message)
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_lag.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_lag.py
@@ -1,33 +1,33 @@
-"""Whether this process itself was late, so that others only seemed to be."""
+"""Detects pauses of this process, which make other processes seem late."""
 
 from dataclasses import dataclass
 
 LATE_SECONDS = 0.1
-"""Lateness of this process beyond which it was no judge of others.
+"""Delay of this process beyond which it can't evaluate others by timeouts.
 
-A timer is a few milliseconds late at most on a VM that has its processor. An
-answer that came in time is read after its timeout has struck when the process
-stood still for as long as the timeout was meant to leave.
+A timer is a few milliseconds late at most on a VM with enough processor time.
+If the process pauses, it may read a response that arrived in time only after
+the timeout of the request.
 """
 
 
 def ran_late(due: float, now: float) -> bool:
-    """Whether something that was due at a time runs too late to judge by."""
+    """Return whether something due at a time runs too late to rely on."""
     return now - due > LATE_SECONDS
 
 
 @dataclass(eq=False)
 class LagMeter:
-    """Notes when a regular task of this process ran late.
+    """Records when a periodic task of this process ran late.
 
-    A node without processor time took its own late reading of a report for a
-    lost replica, and cut off the streams that flowed through it.
+    Without it, a node short of processor time would take a report that it
+    read late for a lost replica, and cut off the streams through that replica.
     """
 
     _late_at: float = float('-inf')
 
     def note(self, due: float, now: float) -> bool:
-        """Note that something which was due at a time runs now.
+        """Record that something due at a time runs now.
 
         :returns: whether that is late.
         """
@@ -37,5 +37,5 @@
         return late
 
     def was_late(self, since: float) -> bool:
-        """Whether this process stood still since some time."""
+        """Return whether this process has paused since a time."""
         return self._late_at >= since
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
@@ -26,7 +26,7 @@
     """A machine and the range of layers assigned to it.
 
     :param first: first layer of the range.
-    :param last: layer after the last assignment of the range.
+    :param last: layer after the last one of the range.
     """
 
     machine: Machine
--- a/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings tree: schema, checks, inheritance, revisions."""
+"""The settings tree: schema, validation, inheritance and revisions."""
 
 from ryelatch_core.settings._check import MAX_BYTES, build_schema, check_text
 from ryelatch_core.settings._errors import Mistake, SettingsError
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_check.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_check.py
@@ -1,4 +1,4 @@
-"""Reads YAML settings and finds every mistake with its line."""
+"""Reads settings from YAML and reports every mistake with its line."""
 
 import difflib
 import functools
@@ -16,9 +16,9 @@
 
 MAX_BYTES = 4_194_304
 _MAX_DEPTH = 32
-_REFERRED = ('models', 'routes')
+_POLICY_REFERENCES = ('models', 'routes')
 _MAX_NODES = 200_000
-_FORMATS = (
+_NUMBER_FORMATS = (
     (float, r'^[-+]?(\d[\d_]*\.\d*|\.\d+)([eE][-+]?\d+)?$'),
     (int, r'^[-+]?\d[\d_]*$'),
 )
@@ -28,7 +28,7 @@
 
 
 class _Reader:
-    """Turns YAML nodes into plain objects and remembers their lines."""
+    """Converts YAML nodes to Python objects and records their lines."""
 
     def __init__(self, file: str) -> None:
         self.lines: dict[_Path, int] = {}
@@ -36,8 +36,8 @@
         self._file = file
         self._count = 0
 
-    def blame(self, path: _Path, expected: str) -> None:
-        """Add a mistake at the nearest place that the file has."""
+    def add_mistake(self, path: _Path, expected: str) -> None:
+        """Add a mistake, with the line of the nearest parent in the file."""
         known = path
         while known and known not in self.lines:
             known = known[:-1]
@@ -51,13 +51,16 @@
         )
 
     def read(self, node: yaml.Node, path: _Path = ()) -> Any:
-        """Read a node and what is below it."""
+        """Convert a node and all nodes below it.
+
+        :raises SettingsError: if there are too many nodes or levels.
+        """
         self.lines[path] = node.start_mark.line + 1
         self._count += 1
         if len(path) > _MAX_DEPTH or self._count > _MAX_NODES:
-            # A file of aliases or brackets can grow without end in memory;
-            # it shows as a node that stops answering. Depth and count are
-            # bounded before anything is built from them.
+            # A small file of aliases or brackets can expand without limit in
+            # memory, and the process would stop responding. Depth and count
+            # are checked before objects are built from the nodes.
             raise SettingsError(
                 (
                     Mistake(
@@ -83,7 +86,7 @@
             key = str(key_node.value)
             if key in mapping:
                 self.lines[(*path, key)] = key_node.start_mark.line + 1
-                self.blame((*path, key), 'this key only once')
+                self.add_mistake((*path, key), 'this key only once')
                 continue
             mapping[key] = self.read(entry, (*path, key))
             self.lines[(*path, key)] = key_node.start_mark.line + 1
@@ -92,7 +95,9 @@
     def _read_scalar(self, node: yaml.Node, path: _Path) -> Any:
         tag = node.tag.removeprefix('tag:yaml.org,2002:')
         if tag not in {'str', 'int', 'float', 'bool', 'null', 'timestamp'}:
-            self.blame(path, f'plain text or a number, not the tag {node.tag}')
+            self.add_mistake(
+                path, f'plain text or a number, not the tag {node.tag}'
+            )
             return None
         if tag == 'null':
             return None
@@ -104,7 +109,7 @@
 
 
 def _read_number(text: str) -> float | int | str:
-    for kind, pattern in _FORMATS:
+    for kind, pattern in _NUMBER_FORMATS:
         if re.match(pattern, text):
             return kind(text.replace('_', ''))
     return text
@@ -125,13 +130,13 @@
 
 
 def _explain(error: Any) -> Iterator[tuple[_Path, str]]:
-    """Turn one error of the schema library into places and words."""
+    """Convert an error of the schema library to paths and expected values."""
     path = tuple(error.absolute_path)
     if error.validator == 'additionalProperties':
         known = sorted(error.schema['properties'])
         for key in sorted(set(error.instance) - set(known)):
-            near = difflib.get_close_matches(key, known, 1)
-            hint = f'; did you mean {near[0]!r}?' if near else ''
+            similar = difflib.get_close_matches(key, known, 1)
+            hint = f'; did you mean {similar[0]!r}?' if similar else ''
             yield (*path, key), f'one of {", ".join(known)}{hint}'
     elif error.validator == 'required':
         yield (
@@ -160,7 +165,7 @@
             ('maximum', 'at most'),
             ('pattern', 'matching'),
             ('enum', 'out of'),
-            ('minLength', 'as long as'),
+            ('minLength', 'of minimum length'),
             ('description', '-'),
         )
         if name in schema
@@ -173,12 +178,13 @@
     file: str,
     root: type[_Root],
 ) -> Result[_Root, SettingsError]:
-    """Check a YAML file and read it into a settings class.
+    """Validate a YAML text and convert it to a settings class.
 
-    :param file: its name, for the mistakes.
-    :returns: the settings, or all mistakes at once.
+    :param file: name of the file, for the mistakes.
+    :param root: ``Settings`` or ``Startup``.
+    :returns: the settings, or an error with all mistakes.
     """
-    import jsonschema  # loaded late: a node in service need not hold it
+    import jsonschema  # imported late: a running node does not need it
 
     reader = _Reader(file)
     try:
@@ -195,9 +201,9 @@
     )
     for found in validator.iter_errors(plain):
         for path, expected in _explain(found):
-            reader.blame(path, expected)
+            reader.add_mistake(path, expected)
     if root is Settings:
-        _blame_references(reader, plain)
+        _check_references(reader, plain)
     if not reader.mistakes:
         return Ok(msgspec.convert(plain, root))
     ordered = sorted(reader.mistakes, key=lambda found: found.line)
@@ -213,52 +219,54 @@
     return node
 
 
-def _blame_references(reader: _Reader, plain: Any) -> None:
-    """Blame names that lead nowhere and keys that two accounts share.
+def _check_references(reader: _Reader, plain: Any) -> None:
+    """Report references to unknown names and keys shared by two accounts.
 
-    This looks at what was read, whether or not it fits the schema, so that
-    an operator sees these mistakes together with all others.
+    Examines the objects even if they do not match the schema, so that an
+    operator gets these mistakes together with all others.
     """
     for path, name, known in _list_references(plain):
         if name not in known:
-            near = difflib.get_close_matches(str(name), known, 1)
-            hint = f'; did you mean {near[0]!r}?' if near else ''
-            reader.blame(path, f'a known name, not {name!r}{hint}')
+            similar = difflib.get_close_matches(str(name), known, 1)
+            hint = f'; did you mean {similar[0]!r}?' if similar else ''
+            reader.add_mistake(path, f'a known name, not {name!r}{hint}')
     owners: dict[str, _Path] = {}
     for path, account in _walk_accounts(plain):
-        for index, key in enumerate(_dig_list(account, 'keys')):
-            place = (*path, 'keys', index)
-            if owners.setdefault(str(key), place) != place:
+        for index, key in enumerate(_get_list(account, 'keys')):
+            location = (*path, 'keys', index)
+            if owners.setdefault(str(key), location) != location:
                 owner = '/'.join(map(str, owners[str(key)][:-2]))
-                reader.blame(place, f'a key of its own, not that of {owner}')
+                reader.add_mistake(
+                    location, f'a key of no other account, not that of {owner}'
+                )
 
 
 def _list_references(plain: Any) -> Iterator[tuple[_Path, Any, list[str]]]:
-    services = list(_dig(plain, 'services'))
-    for prefix, route in _dig(plain, 'routes').items():
+    services = list(_get_mapping(plain, 'services'))
+    for prefix, route in _get_mapping(plain, 'routes').items():
         if isinstance(route, dict) and 'service' in route:
             yield ('routes', prefix, 'service'), route['service'], services
     nodes = [((), plain), *_walk_accounts(plain)]
-    for (path, node), section in itertools.product(nodes, _REFERRED):
-        policy = _dig(node, 'policy')
-        for index, name in enumerate(_dig_list(policy, section)):
-            known = list(_dig(plain, section))
+    for (path, node), section in itertools.product(nodes, _POLICY_REFERENCES):
+        policy = _get_mapping(node, 'policy')
+        for index, name in enumerate(_get_list(policy, section)):
+            known = list(_get_mapping(plain, section))
             yield (*path, 'policy', section, index), name, known
 
 
 def _walk_accounts(node: Any, path: _Path = ()) -> Iterator[tuple[_Path, Any]]:
-    for name, account in _dig(node, 'accounts').items():
-        place = (*path, 'accounts', name)
-        yield place, account
-        yield from _walk_accounts(account, place)
+    for name, account in _get_mapping(node, 'accounts').items():
+        location = (*path, 'accounts', name)
+        yield location, account
+        yield from _walk_accounts(account, location)
 
 
-def _dig(node: Any, name: str) -> dict[str, Any]:
-    """Look up a mapping; an empty one where something else stands."""
+def _get_mapping(node: Any, name: str) -> dict[str, Any]:
+    """Return an entry that is a mapping, else an empty mapping."""
     found = node.get(name) if isinstance(node, dict) else None
     return found if isinstance(found, dict) else {}
 
 
-def _dig_list(node: Any, name: str) -> list[Any]:
+def _get_list(node: Any, name: str) -> list[Any]:
     found = node.get(name) if isinstance(node, dict) else None
     return found if isinstance(found, list) else []
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_errors.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_errors.py
@@ -1,15 +1,15 @@
-"""Errors of the settings layer."""
+"""Errors of the settings package."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Mistake:
-    """One thing wrong in a settings file.
+    """One mistake in a settings file.
 
     :param line: counted from 1; 0 where the file has no such line.
-    :param path: the place in the tree, such as ``accounts/clinic/keys/0``.
-    :param expected: what should stand there.
+    :param path: path in the tree, such as ``accounts/clinic/keys/0``.
+    :param expected: what is expected at that path.
     """
 
     file: str
@@ -18,14 +18,14 @@
     expected: str
 
     def __str__(self) -> str:
-        """Format as compilers do, so that editors can jump to it."""
+        """Format like a compiler message, so that editors can jump to it."""
         return f'{self.file}:{self.line}: {self.path or "/"}: {self.expected}'
 
 
 class SettingsError(Exception):
-    """The settings can't be accepted.
+    """The settings are invalid.
 
-    :param mistakes: every mistake found, in the order of the file.
+    :param mistakes: all mistakes found, in the order of the file.
     """
 
     def __init__(self, mistakes: tuple[Mistake, ...]) -> None:
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_revision.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_revision.py
@@ -1,4 +1,4 @@
-"""Revisions: how accepted settings are kept, ordered and rebased."""
+"""Revisions: how accepted settings are stored, ordered and rebased."""
 
 import hashlib
 from collections.abc import Mapping
@@ -13,18 +13,19 @@
 
 ROOT_KEY = 'settings/root'
 _DIGEST_DIGITS = 40
-_SECTIONED = ('accounts', 'models', 'services', 'routes', 'zones', 'engines')
+_SECTIONS = ('accounts', 'models', 'services', 'routes', 'zones', 'engines')
 
 
 @dataclass(frozen=True)
 class Index:
-    """One revision: which part has which content.
+    """One revision of the settings, as the digests of its parts.
 
-    :param revision: grows by one with each acceptance.
+    :param revision: increases by one with each accepted change.
     :param parts: digest of each part by its path, such as
         ``accounts/clinics``.
-    :param parent: digest of the index before, for the history.
-    :param mark: unique, so that a writer whose answer was lost knows its own.
+    :param parent: digest of the previous index, for the history.
+    :param mark: unique to one write, so that a writer recognizes its own
+        revision if the response to the write was lost.
     """
 
     revision: int
@@ -38,7 +39,10 @@
 
 @dataclass(frozen=True)
 class Bundle:
-    """An index with all its parts: what a node needs to apply it whole."""
+    """An index with the contents of all its parts, ready to be applied.
+
+    :param blobs: encoded parts by their digests.
+    """
 
     index: Index
     blobs: Mapping[str, bytes] = field(default_factory=dict)
@@ -46,28 +50,34 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """Parts that another operator changed since the base was read."""
+    """Parts that another operator has changed as well since the base.
+
+    :param theirs: newest index in the store.
+    """
 
     parts: tuple[str, ...]
     theirs: Index
 
 
 def digest_blob(blob: bytes) -> str:
-    """Name a content by its hash."""
+    """Compute the digest by which a content is stored."""
     return hashlib.sha256(blob).hexdigest()[:_DIGEST_DIGITS]
 
 
 def blob_key(digest: str) -> str:
-    """Give the store's key of a content."""
+    """Return the store's key for the content with a digest."""
     return f'settings/blob/{digest}'
 
 
 def split_settings(settings: Settings) -> dict[str, bytes]:
-    """Cut the tree into parts, one for each child of the root's mappings."""
+    """Split the tree into encoded parts by path.
+
+    Each entry of the root's mappings is a part, and so is the root's policy.
+    """
     plain = msgspec.to_builtins(settings)
     parts = {'policy': plain['policy']} | {
         f'{section}/{name}': entry
-        for section in _SECTIONED
+        for section in _SECTIONS
         for name, entry in plain[section].items()
     }
     return {
@@ -77,20 +87,24 @@
 
 
 def join_bundle(bundle: Bundle) -> Result[Settings, SettingsError]:
-    """Put a revision together again, whole or not at all."""
-    plain: dict[str, Any] = {section: {} for section in _SECTIONED}
+    """Assemble the settings of a revision.
+
+    :returns: the settings, or an error if any part is missing, altered or
+        invalid.
+    """
+    plain: dict[str, Any] = {section: {} for section in _SECTIONS}
     try:
         for path, digest in bundle.index.parts.items():
             blob = bundle.blobs[digest]
             if digest_blob(blob) != digest:
                 return Err(SettingsError(()))
-            _place(plain, path, msgspec.msgpack.decode(blob))
+            _insert_part(plain, path, msgspec.msgpack.decode(blob))
         return Ok(msgspec.convert(plain, Settings))
     except (KeyError, msgspec.MsgspecError):
         return Err(SettingsError(()))
 
 
-def _place(plain: dict[str, Any], path: str, part: Any) -> None:
+def _insert_part(plain: dict[str, Any], path: str, part: Any) -> None:
     section, _, name = path.partition('/')
     if name:
         plain[section][name] = part
@@ -99,12 +113,12 @@
 
 
 def should_apply(current: int, offered: int) -> bool:
-    """Decide whether an offered revision replaces the one in force.
+    """Return whether an offered revision replaces the one in force.
 
-    A stale watch, a paused peer or a poll through an old connection may
-    bring an older revision after a newer one; it would show as a change that
-    an operator saw accepted and that comes undone. Revisions only grow, by
-    the store's conditional update, so the number alone decides.
+    A stale watch, a paused peer or a poll over an old connection may deliver
+    an older revision after a newer one. Applying it would undo a change that
+    an operator has seen accepted. The store's conditional update makes
+    revision numbers only increase, so it is enough to compare them.
     """
     return offered > current
 
@@ -114,22 +128,22 @@
     mine: Mapping[str, str],
     theirs: Index,
 ) -> Result[dict[str, str], Conflict]:
-    """Bring an edit of an older base onto the newest revision.
+    """Apply an edit of an older revision to the newest one.
 
     :param base: parts of the revision that the operator edited.
-    :param mine: parts as the operator wants them.
-    :param theirs: the newest index in the store.
-    :returns: the parts of the next revision, or what clashes.
+    :param mine: parts after the operator's edit.
+    :param theirs: newest index in the store.
+    :returns: the parts of the next revision, or the conflicting parts.
     """
     touched = diff_parts(base, mine)
-    moved = diff_parts(base, theirs.parts)
-    clashes = tuple(
+    changed_by_others = diff_parts(base, theirs.parts)
+    conflicts = tuple(
         path
-        for path in sorted(touched & moved)
+        for path in sorted(touched & changed_by_others)
         if mine.get(path) != theirs.parts.get(path)
     )
-    if clashes:
-        return Err(Conflict(clashes, theirs))
+    if conflicts:
+        return Err(Conflict(conflicts, theirs))
     kept = {
         path: digest
         for path, digest in theirs.parts.items()
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_schema.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_schema.py
@@ -1,4 +1,4 @@
-"""What the settings tree may hold, with units and bounds."""
+"""Classes of the settings tree and the start-up settings, with bounds."""
 
 from dataclasses import dataclass, field
 from typing import Annotated, Literal
@@ -13,7 +13,7 @@
     str,
     Meta(
         pattern='^sha256:[0-9a-f]{64}$',
-        description='sha256: and the hash of a key, as hexadecimal digits',
+        description='sha256: followed by the hash of a key in hexadecimal',
     ),
 ]
 Prefix = Annotated[str, Meta(pattern='^/[A-Za-z0-9._~/-]*$')]
@@ -22,31 +22,37 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """What each settings node inherits from its parent if it is silent."""
+    """Limits and permissions; unset fields are inherited from the parent."""
 
     weight: Annotated[
-        Weight | None, Meta(description='share of the work under contention')
+        Weight | None,
+        Meta(description='relative share of capacity under contention'),
     ] = None
     priority: Annotated[
-        Priority | None, Meta(description='engine priority, 9 served first')
+        Priority | None,
+        Meta(description='priority at the engines; 9 is served first'),
     ] = None
     concurrent: Annotated[
-        Count | None, Meta(description='requests running at once')
+        Count | None,
+        Meta(description='maximum number of requests running at once'),
     ] = None
     queue: Annotated[
-        Count | None, Meta(description='requests waiting at once')
+        Count | None,
+        Meta(description='maximum number of requests waiting at once'),
     ] = None
     queue_wait: Annotated[
-        Seconds | None, Meta(description='longest wait in the queue, seconds')
+        Seconds | None,
+        Meta(description='maximum wait in the queue, in seconds'),
     ] = None
     deadline: Annotated[
-        Seconds | None, Meta(description='longest whole request, seconds')
+        Seconds | None,
+        Meta(description='maximum duration of a request, in seconds'),
     ] = None
     max_tokens: Annotated[
-        Count | None, Meta(description='tokens generated at most')
+        Count | None, Meta(description='maximum number of tokens generated')
     ] = None
     models: Annotated[
-        tuple[str, ...] | None, Meta(description='models that may be asked')
+        tuple[str, ...] | None, Meta(description='models that may be used')
     ] = None
     routes: Annotated[
         tuple[str, ...] | None, Meta(description='routes that may be called')
@@ -55,63 +61,69 @@
 
 @dataclass(frozen=True)
 class Account:
-    """A client account, or a group that its children inherit from."""
+    """A client account, or a group whose children inherit its policy."""
 
     policy: Policy = field(default_factory=Policy)
     keys: Annotated[
         tuple[KeyHash, ...],
-        Meta(description='hashes of the keys; several while one is replaced'),
+        Meta(description='hashes of the keys; several during a key rotation'),
     ] = ()
     accounts: dict[str, 'Account'] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class Model:
-    """A language model that engines serve in ranges of layers."""
+    """A language model, of which each engine serves a range of layers."""
 
     layers: Annotated[int, Meta(ge=1, le=1000)]
     context: Annotated[
-        Count, Meta(description='prompt and answer together, tokens')
+        Count,
+        Meta(description='maximum tokens of prompt and answer together'),
     ]
     version: str
     slots: Annotated[
-        Count, Meta(description='answers in progress at once, fleet-wide')
+        Count,
+        Meta(description='maximum number of answers in progress in the fleet'),
     ] = 256
 
 
 @dataclass(frozen=True)
 class Route:
-    """A path prefix that leads to a plain service."""
+    """A path prefix that is routed to a non-model service."""
 
     service: str
     idempotent: Annotated[
         tuple[Method, ...],
-        Meta(description='methods that may be sent again after a failure'),
+        Meta(description='methods that may be repeated after a failure'),
     ] = ('GET', 'HEAD')
-    strip: Annotated[bool, Meta(description='take the prefix off the path')] = (
-        True
-    )
+    strip: Annotated[
+        bool, Meta(description='remove the prefix from the path')
+    ] = True
     keep_answers: Annotated[
-        Seconds, Meta(description='how long a claimed key is remembered')
+        Seconds,
+        Meta(
+            description='how long a claimed idempotency key is kept, in seconds'
+        ),
     ] = 3600
 
 
 @dataclass(frozen=True)
 class Service:
-    """A plain service beside the engines."""
+    """A non-model service beside the engines."""
 
     role: Annotated[
-        str, Meta(description='role of its VMs in the list of the platform')
+        str, Meta(description="role of its VMs in the platform's list of VMs")
     ]
     timeout: Annotated[
-        Seconds, Meta(description='longest wait for an answer, seconds')
+        Seconds, Meta(description='maximum wait for an answer, in seconds')
     ] = 30
     health: Annotated[
         Prefix,
-        Meta(description='path that answers 503 while an upstream leaves'),
+        Meta(description='path that answers 503 while an upstream is leaving'),
     ] = '/healthz'
     slots: Annotated[
-        Count, Meta(description='requests in progress at once, fleet-wide')
+        Count,
+        Meta(description='maximum number of requests in progress in the fleet'),
     ] = 256
 
 
@@ -124,16 +136,17 @@
 
 @dataclass(frozen=True)
 class EngineRules:
-    """What is known of the engines' part in orders."""
+    """Capabilities of the engines of one kind."""
 
     fencing: Annotated[
-        bool, Meta(description='refuses orders with an old fencing number')
+        bool,
+        Meta(description='whether they reject an outdated fencing number'),
     ] = False
 
 
 @dataclass(frozen=True)
 class Settings:
-    """The root of the tree."""
+    """Root of the settings tree."""
 
     policy: Policy = field(default_factory=Policy)
     zones: dict[str, Zone] = field(default_factory=dict)
@@ -146,7 +159,7 @@
 
 @dataclass(frozen=True)
 class Address:
-    """Where a process listens."""
+    """Host and port on which a process listens."""
 
     host: str
     port: Annotated[int, Meta(ge=0, le=65535)]
@@ -154,18 +167,18 @@
 
 @dataclass(frozen=True)
 class Platform:
-    """How to reach the object API of the platform."""
+    """Access to the object API of the platform."""
 
     url: Annotated[str, Meta(pattern='^https?://')]
     token: str
     timeout: Annotated[
-        Seconds, Meta(description='longest wait for one call, seconds')
+        Seconds, Meta(description='maximum duration of one call, in seconds')
     ] = 2
 
 
 @dataclass(frozen=True)
 class Tls:
-    """Certificate of this process and the authority of its peers."""
+    """Certificate of this process and the authority that signs its peers."""
 
     certificate: str
     key: str
@@ -174,7 +187,7 @@
 
 @dataclass(frozen=True)
 class Startup:
-    """The start-up settings of one node."""
+    """Start-up settings of one node."""
 
     name: Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9.-]{0,62}$')]
     zone: str
@@ -185,15 +198,15 @@
     operator_keys: tuple[KeyHash, ...]
     seeds: Annotated[
         tuple[Address, ...],
-        Meta(description='peers to ask when the platform is out at the start'),
+        Meta(description='peers to contact if the store is down at startup'),
     ] = ()
     drain_notice: Annotated[
         float,
         Meta(
             ge=0,
             le=600,
-            description='seconds between not ready and closing, for the '
-            'balancer to notice',
+            description='seconds between reporting not ready and closing, for '
+            'the load balancer to react',
         ),
     ] = 2
     tls: Tls | None = None
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_text.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_text.py
@@ -1,4 +1,4 @@
-"""Settings as the YAML that operators edit."""
+"""Settings as the YAML text that operators edit."""
 
 import re
 from typing import Any
@@ -12,20 +12,20 @@
 
 
 def render_text(settings: Settings, revision: int) -> str:
-    """Write settings as YAML that remembers the revision it came from."""
+    """Render settings as YAML, with their revision in a comment."""
     plain = _prune(msgspec.to_builtins(settings))
     body = yaml.safe_dump(plain, sort_keys=False, allow_unicode=True)
     return f'# base: revision {revision}\n{body}'
 
 
 def find_base(text: str) -> int | None:
-    """Find the revision that an edited file came from."""
+    """Find the revision on which an edited file is based."""
     found = _BASE.search(text)
     return int(found.group(1)) if found else None
 
 
 def _prune(node: Any) -> Any:
-    """Leave out what says nothing, so that it is inherited."""
+    """Remove unset and empty entries, so that they are inherited."""
     if isinstance(node, dict):
         pruned = {name: _prune(entry) for name, entry in node.items()}
         return {
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
@@ -1,4 +1,4 @@
-"""Inheritance: what is in force at each settings node, and from where."""
+"""Inheritance of policies down the settings tree."""
 
 import hashlib
 from collections.abc import Iterator, Mapping
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class EffectivePolicy:
-    """A policy after inheritance; a field of ``Policy`` each, none silent.
+    """A policy after inheritance: the fields of ``Policy``, all of them set.
 
-    ``models`` and ``routes`` stay ``None`` where all may be used.
+    Only ``models`` and ``routes`` may be ``None``, where all may be used.
     """
 
     weight: float
@@ -40,7 +40,8 @@
 class Origin:
     """Where the value of a policy field comes from.
 
-    :param source: path of the settings node that states it.
+    :param setting: value of the field.
+    :param source: path of the settings node that sets it.
     """
 
     field: str
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class AccountEntry:
-    """A client account with its policy in force."""
+    """A client account with its effective policy."""
 
     path: str
     policy: EffectivePolicy
@@ -58,31 +59,34 @@
 
 @dataclass(frozen=True)
 class Directory:
-    """Client accounts by the hash of each key."""
+    """Client accounts by the hash of each key, and by path."""
 
     by_key: Mapping[str, AccountEntry]
     by_path: Mapping[str, AccountEntry]
 
 
 def hash_key(key: str) -> str:
-    """Hash a key of a caller or operator as settings hold it."""
+    """Hash a key of a client or operator, in the form of the settings."""
     return f'sha256:{hashlib.sha256(key.encode()).hexdigest()}'
 
 
 def inherit(parent: Policy, child: Policy) -> Policy:
-    """Give the child its own fields and the parent's for the rest."""
-    own = {
+    """Take unset fields of the child from the parent."""
+    overrides = {
         entry.name: getattr(child, entry.name)
         for entry in fields(Policy)
         if getattr(child, entry.name) is not None
     }
-    return replace(parent, **own)
+    return replace(parent, **overrides)
 
 
 def build_directory(settings: Settings) -> Directory:
-    """Work out each client account's policy once per revision."""
+    """Compute the effective policy of each client account.
+
+    This runs once per revision instead of once per request.
+    """
     entries = [
-        (AccountEntry(path, _finish(policy)), account.keys)
+        (AccountEntry(path, _make_effective(policy)), account.keys)
         for path, policy, account in _walk(
             settings, 'accounts', inherit(DEFAULTS, settings.policy)
         )
@@ -94,10 +98,10 @@
 
 
 def explain_policy(settings: Settings, path: str) -> list[Origin] | None:
-    """Tell where each policy field of a client account comes from.
+    """Find where each policy field of a client account comes from.
 
     :param path: such as ``accounts/clinics/district-1``.
-    :returns: an origin for each field; ``None`` if there is no such node.
+    :returns: an origin for each field; ``None`` if there is no such account.
     """
     origins = {
         entry.name: Origin(
@@ -107,13 +111,13 @@
     }
     policies = [('/', settings.policy)]
     node: Settings | Account = settings
-    place = ''
+    location = ''
     for name in path.strip('/').split('/')[1:]:
         if name not in node.accounts:
             return None
         node = node.accounts[name]
-        place = f'{place}/{name}'
-        policies.append((f'accounts{place}', node.policy))
+        location = f'{location}/{name}'
+        policies.append((f'accounts{location}', node.policy))
     for source, policy in policies:
         for name in origins:
             stated = getattr(policy, name)
@@ -128,13 +132,13 @@
     policy: Policy,
 ) -> Iterator[tuple[str, Policy, Account]]:
     for name, account in node.accounts.items():
-        place = f'{path}/{name}'
-        own = inherit(policy, account.policy)
-        yield place, own, account
-        yield from _walk(account, place, own)
+        location = f'{path}/{name}'
+        merged = inherit(policy, account.policy)
+        yield location, merged, account
+        yield from _walk(account, location, merged)
 
 
-def _finish(policy: Policy) -> EffectivePolicy:
+def _make_effective(policy: Policy) -> EffectivePolicy:
     return EffectivePolicy(
         **{
             entry.name: getattr(policy, entry.name)
--- a/packages/ryelatch-core/src/ryelatch_core/streams/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Event streams: whole events, in order, over several upstreams."""
+"""Event streams: complete events, in order, across several upstreams."""
 
 from ryelatch_core.streams._events import EventCutter, StreamError
 
--- a/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
+++ b/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
@@ -1,58 +1,59 @@
-"""Cuts a stream of bytes into whole events and keeps their order."""
+"""Splits a byte stream into complete events and checks their order."""
 
 import re
 
 _BOUNDARY = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_IDENTITY = re.compile(rb'^id:[ ]?(\d+)[ ]*\r?$', re.MULTILINE)
+_EVENT_ID = re.compile(rb'^id:[ ]?(\d+)[ ]*\r?$', re.MULTILINE)
 
 
 class StreamError(Exception):
-    """An upstream sent an event out of order."""
+    """An upstream skipped an event."""
 
 
 class EventCutter:
-    """Passes on whole events, each once and in order.
+    """Returns the complete events of a byte stream, each once and in order.
 
-    An upstream that is lost may stop in the middle of an event. The client
-    must not see the torn half, for the next upstream sends that event again
-    from its beginning; and an upstream that resumes may repeat what the
-    client has already.
+    An upstream that fails may stop in the middle of an event. The client must
+    not receive the partial event, because the next upstream sends that event
+    from its beginning. An upstream that resumes a stream may also repeat
+    events that the client already has.
 
-    :param last: the number of the last event that the client has.
+    :param last: number of the last event that the client has.
     """
 
     def __init__(self, last: int | None = None) -> None:
         self.last = last
-        self._rest = b''
+        self._buffer = b''
 
     @property
     def torn(self) -> bool:
-        """Whether part of an event has come whose end has not."""
-        return bool(self._rest)
+        """Whether the stream ends with a partial event so far."""
+        return bool(self._buffer)
 
     def restart(self) -> None:
-        """Forget a torn event, as another upstream goes on."""
-        self._rest = b''
+        """Discard a partial event, before another upstream continues."""
+        self._buffer = b''
 
     def cut(self, piece: bytes) -> bytes:
-        """Take bytes from the upstream.
+        """Process bytes from the upstream.
 
-        :returns: the whole events in them that are due, byte for byte.
-        :raises StreamError: if an event is missing before one of them.
+        :returns: the complete events that the client does not have yet, byte
+            for byte.
+        :raises StreamError: if an event between two of them is missing.
         """
-        self._rest += piece
-        due: list[bytes] = []
+        self._buffer += piece
+        events: list[bytes] = []
         start = 0
-        for found in _BOUNDARY.finditer(self._rest):
-            event = self._rest[start : found.end()]
+        for found in _BOUNDARY.finditer(self._buffer):
+            event = self._buffer[start : found.end()]
             start = found.end()
-            if self._is_due(event):
-                due.append(event)
-        self._rest = self._rest[start:]
-        return b''.join(due)
+            if self._is_new(event):
+                events.append(event)
+        self._buffer = self._buffer[start:]
+        return b''.join(events)
 
-    def _is_due(self, event: bytes) -> bool:
-        found = _IDENTITY.search(event)
+    def _is_new(self, event: bytes) -> bool:
+        found = _EVENT_ID.search(event)
         if found is None:
             return True
         number = int(found.group(1))
--- a/tests/core/events/test_explanation.py
+++ b/tests/core/events/test_explanation.py
@@ -1,4 +1,4 @@
-"""The lines of a request tell its story and its cause."""
+"""Tests for explaining the outcome of a request from log lines."""
 
 import json
 
@@ -27,10 +27,10 @@
 
 
 def test_refused_request_leads_to_the_store() -> None:
-    """A keyed request is refused; a user complains with its id.
+    """A request with a key is refused, and its client reports the id.
 
-    The lines lead from the refusal to the belief that decided it, and to the
-    outage of the store behind that.
+    The explanation leads from the refusal to the state that caused it, and to
+    the outage of the store behind that.
     """
     story = explain_request(read_lines(_LINES), 'a')
     assert story is not None
@@ -42,7 +42,7 @@
 def test_broken_stream_leads_to_its_replica() -> None:
     story = explain_request(read_lines(_LINES), 'b')
     assert story is not None
-    assert 'replica r-1 failed it: silent' in story.cause
+    assert 'replica r-1 failed the attempt: silent' in story.cause
     assert explain_request(read_lines(_LINES), 'nobody') is None
 
 
@@ -54,9 +54,10 @@
 
 
 def test_request_to_a_missing_replica_is_told() -> None:
-    """A user was cut off by a replica that had left seconds before.
+    """A client was cut off by a replica that had left seconds before.
 
-    The lines lead to the entry that was kept in use, and to the outage.
+    The explanation leads to the entry that was kept in use, and to the store
+    outage.
     """
     lines = (
         _write(99, 'store-out', reason='TimeoutError', sent_ago=1.3),
@@ -74,10 +75,10 @@
 
 
 def test_refusal_leads_to_the_ends_behind_it() -> None:
-    """A user is refused as replicas ended under the request elsewhere.
+    """A request is refused because replicas crashed on it elsewhere.
 
-    Two other nodes saw the ends, under other identities; the digest joins
-    them. An end of another request is no part of it.
+    Other nodes saw the crashes, for requests with other ids; the digest
+    relates them. A crash on a request with another digest is left out.
     """
     lines = [
         _write(50, 'request-suspected', digest='d', replica='r-1', request='x'),
@@ -96,4 +97,4 @@
     story = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
     assert story is not None
     assert [line.time for line in story.beliefs] == [50, 52]
-    assert story.cause.startswith('replicas had ended')
+    assert story.cause.startswith('replicas had crashed')
--- a/tests/core/events/test_lines.py
+++ b/tests/core/events/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded and never stop the router."""
+"""Tests that log lines are bounded and never block the router."""
 
 import json
 from typing import Any
@@ -16,28 +16,28 @@
 
 
 class _Reader:
-    """Standard output whose reader may have stopped."""
+    """Standard output whose reader may stall."""
 
     def __init__(self) -> None:
         self.blocked = False
-        self.taken = b''
-        self.most = 10_000
+        self.written = b''
+        self.max_bytes = 10_000
 
     def write(self, line: bytes) -> int:
         if self.blocked:
             raise BlockingIOError
-        self.taken += line[: self.most]
-        return min(len(line), self.most)
+        self.written += line[: self.max_bytes]
+        return min(len(line), self.max_bytes)
 
     def read(self) -> list[dict[str, Any]]:
-        return [json.loads(line) for line in self.taken.splitlines()]
+        return [json.loads(line) for line in self.written.splitlines()]
 
 
 def test_stopped_reader_costs_lines_not_requests() -> None:
-    """What reads standard output hangs; requests go on failing.
+    """The reader of standard output hangs while requests keep failing.
 
-    Lines wait up to a bound, the rest are dropped. When the reader is back
-    it gets those that waited, and the count of those that are missing.
+    Lines are queued up to a limit and further ones are dropped. When the
+    reader continues, it gets the queued lines and the count of dropped ones.
     """
     reader = _Reader()
     log = LineLog('node-a', _Clock(), reader.write)
@@ -55,10 +55,10 @@
 
 
 def test_lines_of_success_are_bounded_in_a_second() -> None:
-    """A storm of requests goes well; a few fail in the middle of it.
+    """One of many requests within a second fails.
 
-    Lines of what went well are left out beyond a limit and counted; no line
-    of a failure is.
+    Lines of successful requests beyond a limit are dropped and counted; lines
+    of failures are always written.
     """
     reader = _Reader()
     clock = _Clock()
@@ -74,10 +74,10 @@
 
 
 def test_partly_written_line_goes_on() -> None:
-    """A pipe is nearly full and takes a part of a line."""
+    """A pipe is nearly full and accepts only a part of a line."""
     reader = _Reader()
     log = LineLog('node-a', _Clock(), reader.write)
-    reader.most = 30
+    reader.max_bytes = 30
     log.record(catalogue.NODE_STARTED)
     log.record(catalogue.NODE_STOPPED)
     for _ in range(30):
@@ -87,10 +87,10 @@
 
 
 def test_field_may_have_any_name() -> None:
-    """A field is named like the parameter that takes the event.
+    """A field has the same name as the parameter for the event.
 
-    The call failed, and with it the task that followed the store: the node
-    served on with an old configuration, and nothing told why.
+    If the call failed, so would the task that follows the store: the node
+    would continue with an outdated configuration, without any error shown.
     """
     reader = _Reader()
     log = LineLog('node-a', _Clock(), reader.write)
--- a/tests/core/events/test_supervision.py
+++ b/tests/core/events/test_supervision.py
@@ -1,4 +1,4 @@
-"""Parts of a process run again after they failed."""
+"""Tests that permanent tasks are restarted after failures."""
 
 import asyncio
 import json
@@ -8,15 +8,15 @@
 
 
 async def test_crashed_part_is_started_again_and_told() -> None:
-    """A part fails by an error that nobody foresaw.
+    """A permanent task fails with an unexpected exception.
 
-    Its task would end in silence, and the process serve on with what it
-    believed. It runs again, and a line says where it failed.
+    Without a restart the process would continue with outdated state. The task
+    runs again, and a log line has the traceback.
     """
-    taken: list[bytes] = []
+    written: list[bytes] = []
 
     def write(line: bytes) -> int:
-        taken.append(line)
+        written.append(line)
         return len(line)
 
     again = asyncio.Event()
@@ -33,6 +33,6 @@
     task = asyncio.create_task(keep_running('part', work, log))
     await asyncio.wait_for(again.wait(), 10)
     await cancel_task(task)
-    line = json.loads(taken[0])
+    line = json.loads(written[0])
     assert line['name'] == 'task-crashed'
     assert 'unforeseen' in line['trace']
--- a/tests/core/events/test_timeline.py
+++ b/tests/core/events/test_timeline.py
@@ -1,4 +1,4 @@
-"""Events and their order over processes."""
+"""Tests for events and their order across processes."""
 
 from ryelatch_core.events import (
     HybridClock,
@@ -11,7 +11,7 @@
 
 
 class FixedClock:
-    """A clock that stands still unless moved."""
+    """A clock that shows a fixed time."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -21,7 +21,7 @@
         return self.now
 
     def monotonic(self) -> float:
-        """Seconds that never go back."""
+        """Seconds that never decrease."""
         return self.now
 
 
@@ -32,10 +32,10 @@
 
 
 def test_effect_follows_cause_despite_clocks() -> None:
-    """Node b's clock is two seconds behind, and it acts on a's message.
+    """Node b, with a clock two seconds behind, reacts to a message of node a.
 
-    By their own clocks the effect would stand before its cause on the time
-    line; the hybrid clock carries a's stamp over.
+    By wall clocks the effect would be ordered before its cause; the hybrid
+    clock takes node a's stamp into account.
     """
     ahead = HybridClock(FixedClock(102))
     behind = HybridClock(FixedClock(100))
--- a/tests/core/events/test_usage.py
+++ b/tests/core/events/test_usage.py
@@ -1,4 +1,4 @@
-"""What a fleet has spent is added up from the lines of its nodes."""
+"""Tests for the resource usage of a fleet, summed from log lines."""
 
 from ryelatch_core.events import CostBook, Line, sum_costs
 
@@ -22,10 +22,11 @@
 
 
 def test_last_line_of_each_life_counts() -> None:
-    """A node is killed and starts again under its name, and counts anew.
+    """A node is killed and restarted with the same name and new counts.
 
-    Each line tells all that a life has spent so far; taken for what was spent
-    since the line before, or for one life, the table would be wrong.
+    Each line holds the totals of one run of the process. The sum would be
+    wrong if a line were read as the increase since the line before, or if
+    both runs were taken for one.
     """
     first, second = CostBook(), CostBook()
     first.count('store', 'servers', 'watch')
--- a/tests/core/kernel/test_app.py
+++ b/tests/core/kernel/test_app.py
@@ -1,4 +1,4 @@
-"""The application object."""
+"""Tests for the application object."""
 
 import pytest
 
--- a/tests/core/settings/test_check.py
+++ b/tests/core/settings/test_check.py
@@ -1,4 +1,4 @@
-"""Checks of settings files."""
+"""Tests for the validation of settings files."""
 
 import pytest
 
@@ -23,13 +23,13 @@
 """
 
 
-def _blame(text: str) -> list[str]:
+def _list_mistakes(text: str) -> list[str]:
     checked = check_text(text, 'f.yaml', Settings)
     return [str(mistake) for mistake in checked.unwrap_err().mistakes]
 
 
 def test_every_mistake_at_once_with_its_line() -> None:
-    told = '\n'.join(_blame(_WRONG))
+    reported = '\n'.join(_list_mistakes(_WRONG))
     for part in (
         'f.yaml:2: policy/wieght: one of concurrent',
         "did you mean 'weight'?",
@@ -42,7 +42,7 @@
         "f.yaml:11: accounts/desk/policy/models/0: a known name, not 'planer'",
         'f.yaml:11: accounts/desk/policy/weight: number above 0',
     ):
-        assert part in told
+        assert part in reported
 
 
 @pytest.mark.parametrize(
@@ -58,25 +58,26 @@
     ],
 )
 def test_hostile_files(text: str, part: str) -> None:
-    assert part in '\n'.join(_blame(text))
+    assert part in '\n'.join(_list_mistakes(text))
 
 
 def test_aliases_can_not_grow_without_end() -> None:
-    """A small file refers to itself ten times on each of nine levels.
+    """A small file has nine levels of aliases with ten references each.
 
-    Built in memory it would be a billion nodes; the check ends at its bound.
+    Expanded in memory it would have a billion nodes; reading stops at the
+    limit.
     """
     lines = ['a0: &a0 [x, x, x, x, x, x, x, x, x, x]']
     for level in range(1, 10):
         row = ', '.join([f'*a{level - 1}'] * 10)
         lines.append(f'a{level}: &a{level} [{row}]')
-    assert 'nodes' in '\n'.join(_blame('\n'.join(lines)))
+    assert 'nodes' in '\n'.join(_list_mistakes('\n'.join(lines)))
 
 
 def test_a_key_belongs_to_one_account() -> None:
     key = f'sha256:{"0" * 64}'
     text = f'accounts:\n  a: {{keys: ["{key}"]}}\n  b: {{keys: ["{key}"]}}\n'
-    assert 'not that of accounts/a' in '\n'.join(_blame(text))
+    assert 'not that of accounts/a' in '\n'.join(_list_mistakes(text))
 
 
 def test_schemas_refuse_unknown_keys() -> None:
--- a/tests/core/settings/test_revision.py
+++ b/tests/core/settings/test_revision.py
@@ -1,4 +1,4 @@
-"""Revisions: order of arrival, rebasing, wholeness."""
+"""Tests for revisions: order of arrival, rebasing, completeness."""
 
 from dataclasses import replace
 
@@ -28,9 +28,9 @@
 
 @given(st.lists(st.integers(min_value=0, max_value=50)))
 def test_never_reverts_in_any_order(offered: list[int]) -> None:
-    """Watch, poll and peers bring revisions in any order, also doubled.
+    """Watch, poll and peers deliver revisions in any order and repeatedly.
 
-    What is in force only grows, and ends at the highest that ever came.
+    The revision in force only increases, and ends at the highest delivered.
     """
     current = 0
     seen = [current]
@@ -53,9 +53,10 @@
 
 
 def test_half_a_revision_is_refused() -> None:
-    """A part is missing or was altered on the way.
+    """A part is missing or was altered in transit.
 
-    Applied half, an account could lose its limits; it is refused whole.
+    Applied partially, an account could lose its limits, so the complete
+    revision is rejected.
     """
     bundle = _bundle(Settings(accounts={'a': Account()}))
     assert join_bundle(Bundle(bundle.index, {})).is_err()
@@ -74,21 +75,21 @@
     mine: dict[str, str],
     theirs: dict[str, str],
 ) -> None:
-    """Two operators edit the same base in every possible way.
+    """Two operators edit the same base in all possible ways.
 
-    Either some part clashes, or the outcome has each one's changes.
+    Either some part conflicts, or the result has the changes of both.
     """
     rebased = rebase(base, mine, Index(2, theirs))
     paths = [*base, *mine, *theirs]
-    clashing = {
+    conflicting = {
         path
         for path in paths
         if mine.get(path) != base.get(path)
         and theirs.get(path) != base.get(path)
         and mine.get(path) != theirs.get(path)
     }
-    if clashing:
-        assert set(rebased.unwrap_err().parts) == clashing
+    if conflicting:
+        assert set(rebased.unwrap_err().parts) == conflicting
         return
     merged = rebased.unwrap()
     for path in paths:
--- a/tests/core/settings/test_tree.py
+++ b/tests/core/settings/test_tree.py
@@ -1,4 +1,4 @@
-"""Inheritance in the settings tree."""
+"""Tests for inheritance in the settings tree."""
 
 from ryelatch_core.settings import (
     Account,
--- a/tests/core/streams/test_events.py
+++ b/tests/core/streams/test_events.py
@@ -1,4 +1,4 @@
-"""Events reach the client whole, once and in order."""
+"""Tests that the client gets complete events, each once and in order."""
 
 import pytest
 from hypothesis import given
@@ -16,7 +16,7 @@
 
 @given(st.lists(st.integers(1, 40), max_size=30))
 def test_any_pieces_give_the_same_bytes(sizes: list[int]) -> None:
-    """The network cuts a stream anywhere, also in the middle of an event."""
+    """The network splits a stream anywhere, also in the middle of an event."""
     stream = _write(1, 12)
     cutter = EventCutter()
     passed = []
@@ -31,10 +31,10 @@
 
 @given(st.integers(0, 300), st.integers(0, 3))
 def test_resumed_stream_is_the_whole_one(at: int, repeated: int) -> None:
-    """A replica is lost in the middle of an event; another goes on.
+    """A replica is lost in the middle of an event, and another continues.
 
-    It begins after the last event that was delivered, or repeats some. The
-    client sees each event once, and nothing of the torn one.
+    It starts after the last event delivered, or repeats some events. The
+    client gets each event once, and no part of the interrupted one.
     """
     stream = _write(1, 20)
     cutter = EventCutter()
