--- a/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
@@ -26,8 +26,8 @@
     fleet is summed and listed by these names.
 
     :param clock: returns the processor time of the process, in seconds.
-    :param life: identifier of this run of the process, which differs from
-        that of earlier processes with the same name.
+    :param life: identifier of this run of the process, as the name of a
+        process stays the same when it is restarted.
     """
 
     clock: Callable[[], float] = time.process_time
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_latency.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_latency.py
@@ -107,18 +107,20 @@
         )
 
 
-def find_usual(paces: Iterable[Pace], now: float) -> float:
+def find_usual(trackers: Iterable[Pace], now: float) -> float:
     """Find the typical latency among engines that hold the same layers.
 
     :returns: low median of the latencies that are not stale, in seconds; 0 if
         all are stale.
     """
-    recent = [pace.latency for pace in paces if not pace.is_stale(now)]
+    recent = [
+        tracker.latency for tracker in trackers if not tracker.is_stale(now)
+    ]
     return statistics.median_low(recent) if recent else 0
 
 
 def estimate_cost(
-    pace: Pace,
+    tracker: Pace,
     typical: float,
     streams: int,
     waiting: float,
@@ -134,8 +136,8 @@
     :param waiting: positions queued, by the engine's last report.
     :param rate: nominal positions per second of the engine.
     """
-    latency = pace.expect(typical, now) or 1 / rate
-    if streams and pace.seen and pace.is_stale(now):
+    latency = tracker.expect(typical, now) or 1 / rate
+    if streams and tracker.seen and tracker.is_stale(now):
         # One stream is enough to find out whether the engine has recovered;
         # a second one would add no information and be just as slow.
         latency *= MIN_SLOWDOWN_FACTOR
--- a/tests/core/events/test_explanation.py
+++ b/tests/core/events/test_explanation.py
@@ -32,17 +32,17 @@
     The explanation leads from the refusal to the state that caused it, and to
     the outage of the store behind that.
     """
-    story = explain_request(read_lines(_LINES), 'a')
-    assert story is not None
-    names = [line.name for line in story.beliefs]
+    explanation = explain_request(read_lines(_LINES), 'a')
+    assert explanation is not None
+    names = [line.name for line in explanation.beliefs]
     assert names == ['store-out', 'configuration-stale']
-    assert 'no fresh word from the store' in story.cause
+    assert 'no fresh word from the store' in explanation.cause
 
 
 def test_broken_stream_leads_to_its_replica() -> None:
-    story = explain_request(read_lines(_LINES), 'b')
-    assert story is not None
-    assert 'replica r-1 failed the attempt: silent' in story.cause
+    explanation = explain_request(read_lines(_LINES), 'b')
+    assert explanation is not None
+    assert 'replica r-1 failed the attempt: silent' in explanation.cause
     assert explain_request(read_lines(_LINES), 'nobody') is None
 
 
@@ -65,13 +65,13 @@
         _write(100, 'exchange-sent', request='c', replica='r-1', missing=0.9),
         _write(101, 'exchange-ended', request='c'),
     )
-    story = explain_request(read_lines(lines), 'c')
-    assert story is not None
-    assert [line.name for line in story.beliefs] == [
+    explanation = explain_request(read_lines(lines), 'c')
+    assert explanation is not None
+    assert [line.name for line in explanation.beliefs] == [
         'store-out',
         'replica-lapsed',
     ]
-    assert 'missing for 0.9 s' in story.cause
+    assert 'missing for 0.9 s' in explanation.cause
 
 
 def test_refusal_leads_to_the_ends_behind_it() -> None:
@@ -94,7 +94,7 @@
         _write(95, 'request-released', digest='d'),
     ]
     elsewhere = [text.replace('edge-1', 'edge-2') for text in lines[:2]]
-    story = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
-    assert story is not None
-    assert [line.time for line in story.beliefs] == [50, 52]
-    assert story.cause.startswith('replicas had crashed')
+    explanation = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
+    assert explanation is not None
+    assert [line.time for line in explanation.beliefs] == [50, 52]
+    assert explanation.cause.startswith('replicas had crashed')
--- a/tests/core/events/test_usage.py
+++ b/tests/core/events/test_usage.py
@@ -3,22 +3,22 @@
 from ryelatch_core.events import CostBook, Line, sum_costs
 
 
-def _write(process: str, book: CostBook) -> Line:
+def _write(process: str, tracker: CostBook) -> Line:
     detail = {
-        'life': book.life,
-        'counts': book.list_counts(),
-        'seconds': book.list_seconds(),
+        'life': tracker.life,
+        'counts': tracker.list_counts(),
+        'seconds': tracker.list_seconds(),
     }
     return Line(1.0, process, 'node-costs', detail)
 
 
 def test_time_of_a_block_is_added_to_its_activity() -> None:
     times = iter((10.0, 11.0, 11.5, 12.0, 14.0, 15.0))
-    book = CostBook(lambda: next(times))
+    tracker = CostBook(lambda: next(times))
     for seconds in (1.0, 1.5):
-        with book.spend('plan'):
+        with tracker.spend('plan'):
             assert seconds
-    assert book.list_seconds() == {'plan': 2.5, 'process': 5.0}
+    assert tracker.list_seconds() == {'plan': 2.5, 'process': 5.0}
 
 
 def test_last_line_of_each_life_counts() -> None:
--- a/tests/core/pipeline/test_latency.py
+++ b/tests/core/pipeline/test_latency.py
@@ -5,11 +5,13 @@
 _STREAMS = 6
 
 
-def _record_steps(pace: Pace, start: float, end: float, seconds: float) -> None:
+def _record_steps(
+    tracker: Pace, start: float, end: float, seconds: float
+) -> None:
     """Record steps of several streams on an engine, all at the same times."""
     for step in range(1, round((end - start) / seconds) + 1):
         for _ in range(_STREAMS):
-            pace.observe(seconds, start + step * seconds)
+            tracker.observe(seconds, start + step * seconds)
 
 
 def test_slow_engine_is_left_and_tried_again() -> None:
@@ -18,61 +20,61 @@
     New streams avoid it until the measured latency has decayed. Then a single
     stream tries it, and no second one before a receipt has arrived.
     """
-    paces = [Pace(), Pace(), Pace()]
-    for pace, latency in zip(paces, (0.01, 0.01, 0.1), strict=True):
-        _record_steps(pace, 99, 100, latency)
-    typical = find_usual(paces, 100)
-    assert typical == paces[0].latency
-    assert paces[2].is_slow(typical, 100)
-    assert not paces[0].is_slow(typical, 100)
+    trackers = [Pace(), Pace(), Pace()]
+    for tracker, latency in zip(trackers, (0.01, 0.01, 0.1), strict=True):
+        _record_steps(tracker, 99, 100, latency)
+    typical = find_usual(trackers, 100)
+    assert typical == trackers[0].latency
+    assert trackers[2].is_slow(typical, 100)
+    assert not trackers[0].is_slow(typical, 100)
 
     def cost(index: int, streams: int, now: float) -> float:
-        return estimate_cost(paces[index], typical, streams, 0, 1000, now)
+        return estimate_cost(trackers[index], typical, streams, 0, 1000, now)
 
     assert cost(2, 0, 101) > cost(0, 100, 101)
-    paces[0].observe(0.01, 140)
+    trackers[0].observe(0.01, 140)
     assert cost(2, 0, 140) < cost(0, 40, 140)
     assert cost(2, 1, 140) > cost(0, 40, 140)
 
 
 def test_one_pause_is_no_crawl() -> None:
     """A node or an engine pauses for a moment, which delays all steps."""
-    pace = Pace()
-    _record_steps(pace, 100, 101, 0.004)
-    _record_steps(pace, 101, 101.15, 0.15)
-    assert not pace.is_slow(0.004, 101.15)
-    _record_steps(pace, 101.15, 101.6, 0.004)
-    assert not pace.is_slow(0.004, 101.6)
-    _record_steps(pace, 101.6, 101.85, 0.25)
-    assert not pace.is_slow(0.004, 101.85)
+    tracker = Pace()
+    _record_steps(tracker, 100, 101, 0.004)
+    _record_steps(tracker, 101, 101.15, 0.15)
+    assert not tracker.is_slow(0.004, 101.15)
+    _record_steps(tracker, 101.15, 101.6, 0.004)
+    assert not tracker.is_slow(0.004, 101.6)
+    _record_steps(tracker, 101.6, 101.85, 0.25)
+    assert not tracker.is_slow(0.004, 101.85)
 
 
 def test_first_steps_in_a_pause_are_no_crawl() -> None:
     """Streams start on an engine while it pauses for a moment."""
-    pace = Pace()
-    _record_steps(pace, 100, 100.15, 0.15)
-    assert not pace.is_slow(0.004, 100.15)
+    tracker = Pace()
+    _record_steps(tracker, 100, 100.15, 0.15)
+    assert not tracker.is_slow(0.004, 100.15)
 
 
 def test_old_crawl_and_a_pause_are_no_crawl() -> None:
     """An engine that was slow several seconds ago pauses for a moment."""
-    pace = Pace()
-    _record_steps(pace, 90, 91, 0.1)
-    _record_steps(pace, 100, 100.15, 0.15)
-    assert not pace.is_slow(0.004, 100.15)
+    tracker = Pace()
+    _record_steps(tracker, 90, 91, 0.1)
+    _record_steps(tracker, 100, 100.15, 0.15)
+    assert not tracker.is_slow(0.004, 100.15)
 
 
 def test_crawl_is_seen_within_a_second() -> None:
     """All steps of an engine suddenly take twenty-five times as long."""
-    pace = Pace()
-    _record_steps(pace, 100, 101, 0.004)
-    _record_steps(pace, 101, 102, 0.1)
-    assert pace.is_slow(0.004, 102)
+    tracker = Pace()
+    _record_steps(tracker, 100, 101, 0.004)
+    _record_steps(tracker, 101, 102, 0.1)
+    assert tracker.is_slow(0.004, 102)
 
 
 def test_pace_of_two_is_that_of_the_faster() -> None:
-    paces = [Pace(0.01, 10), Pace(0.2, 10), Pace(9, 1)]
-    assert find_usual(paces, 11) == paces[0].latency
+    trackers = [Pace(0.01, 10), Pace(0.2, 10), Pace(9, 1)]
+    assert find_usual(trackers, 11) == trackers[0].latency
 
 
 def test_streams_spread_over_equal_engines() -> None:
@@ -85,9 +87,9 @@
 
 def test_own_dispatches_count_before_reports_do() -> None:
     """The node's own streams count before the engine reports its queue."""
-    pace = Pace()
-    assert estimate_cost(pace, 0, 5, 0, 100, 10) > estimate_cost(
-        pace, 0, 0, 0, 100, 10
+    tracker = Pace()
+    assert estimate_cost(tracker, 0, 5, 0, 100, 10) > estimate_cost(
+        tracker, 0, 0, 0, 100, 10
     )
 
 
@@ -97,11 +99,11 @@
     Its peer has no recent latency, so the slow engine alone would define the
     typical latency; it is compared with its own long-term average instead.
     """
-    pace = Pace()
+    tracker = Pace()
     for step in range(500):
-        pace.observe(0.003, 100 + step / 100)
+        tracker.observe(0.003, 100 + step / 100)
     for step in range(30):
-        pace.observe(0.1, 105 + step / 10)
-    typical = find_usual([pace, Pace()], 108)
-    assert typical == pace.latency
-    assert pace.is_slow(typical, 108)
+        tracker.observe(0.1, 105 + step / 10)
+    typical = find_usual([tracker, Pace()], 108)
+    assert typical == tracker.latency
+    assert tracker.is_slow(typical, 108)
