--- a/packages/ryelatch-core/src/ryelatch_core/events/_catalogue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_catalogue.py
@@ -312,7 +312,7 @@
 REQUEST_SUSPECTED = EventKind(
     1422,
     'request-suspected',
-    'A replica crashed when it started a request, or while it waited.',
+    'A replica crashed when it started a request, or while the request waited.',
     'Nothing; if other replicas crash for the same digest, it is refused.',
     Level.WARNING,
 )
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_schema.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_schema.py
@@ -198,7 +198,7 @@
     operator_keys: tuple[KeyHash, ...]
     seeds: Annotated[
         tuple[Address, ...],
-        Meta(description='peers to contact if the store is down at startup'),
+        Meta(description='peers to ask if the store is unavailable at startup'),
     ] = ()
     drain_notice: Annotated[
         float,
