--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -18,13 +18,13 @@
 from ryelatch_node.ports import Orders, RelayStartup, Wire
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_node.relay._paces import PaceChecks
-from ryelatch_node.relay._reach import EndChecks
+from ryelatch_node.relay._reach import CrashChecks
 from ryelatch_node.relay._upstream import Upstreams
 from ryelatch_node.throttle import Throttle
 
 
 @dataclass
-class Parts:
+class RelayContext:
     """The services that relaying needs, and what it learned itself."""
 
     startup: RelayStartup
@@ -41,7 +41,7 @@
     throttle: Throttle
     costs: CostBook = field(default_factory=CostBook)
     load: LoadBook = field(default_factory=LoadBook)
-    ends: EndChecks = field(init=False)
+    ends: CrashChecks = field(init=False)
     paces: PaceChecks = field(init=False)
     windows: Windows = field(init=False)
     accounts: AccountBook = field(default_factory=AccountBook)
@@ -52,7 +52,7 @@
 
     def __post_init__(self) -> None:
         """Make what needs the other parts."""
-        self.ends = EndChecks(self.orders)
+        self.ends = CrashChecks(self.orders)
         self.paces = PaceChecks(
             self.log, self.clock, self.orders, self.throttle.is_throttled
         )
