--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""Chains of engines and the frames that run a model's layers on them."""
+"""Chains of engines, layer placement, and the frames exchanged with engines."""
 
 from ryelatch_core.pipeline._chain import (
     Chain,
@@ -31,7 +31,7 @@
     decode_frames,
     encode_frames,
 )
-from ryelatch_core.pipeline._pace import Pace, estimate_cost, find_usual
+from ryelatch_core.pipeline._latency import Pace, estimate_cost, find_usual
 from ryelatch_core.pipeline._placement import (
     Plan,
     cut_evenly,
--- a/tests/core/events/test_story.py
+++ b/tests/core/events/test_explanation.py
@@ -1,4 +1,4 @@
-"""The lines of a request tell its story and its cause."""
+"""Tests for explaining the outcome of a request from log lines."""
 
 import json
 
@@ -27,22 +27,22 @@
 
 
 def test_refused_request_leads_to_the_store() -> None:
-    """A keyed request is refused; a user complains with its id.
+    """A request with a key is refused, and its client reports the id.
 
-    The lines lead from the refusal to the belief that decided it, and to the
-    outage of the store behind that.
+    The explanation leads from the refusal to the state that caused it, and to
+    the outage of the store behind that.
     """
-    story = explain_request(read_lines(_LINES), 'a')
-    assert story is not None
-    names = [line.name for line in story.beliefs]
+    explanation = explain_request(read_lines(_LINES), 'a')
+    assert explanation is not None
+    names = [line.name for line in explanation.beliefs]
     assert names == ['store-out', 'configuration-stale']
-    assert 'no fresh word from the store' in story.cause
+    assert 'no fresh word from the store' in explanation.cause
 
 
 def test_broken_stream_leads_to_its_replica() -> None:
-    story = explain_request(read_lines(_LINES), 'b')
-    assert story is not None
-    assert 'replica r-1 failed it: silent' in story.cause
+    explanation = explain_request(read_lines(_LINES), 'b')
+    assert explanation is not None
+    assert 'replica r-1 failed the attempt: silent' in explanation.cause
     assert explain_request(read_lines(_LINES), 'nobody') is None
 
 
@@ -54,9 +54,10 @@
 
 
 def test_request_to_a_missing_replica_is_told() -> None:
-    """A user was cut off by a replica that had left seconds before.
+    """A client was cut off by a replica that had left seconds before.
 
-    The lines lead to the entry that was kept in use, and to the outage.
+    The explanation leads to the entry that was kept in use, and to the store
+    outage.
     """
     lines = (
         _write(99, 'store-out', reason='TimeoutError', sent_ago=1.3),
@@ -64,20 +65,20 @@
         _write(100, 'exchange-sent', request='c', replica='r-1', missing=0.9),
         _write(101, 'exchange-ended', request='c'),
     )
-    story = explain_request(read_lines(lines), 'c')
-    assert story is not None
-    assert [line.name for line in story.beliefs] == [
+    explanation = explain_request(read_lines(lines), 'c')
+    assert explanation is not None
+    assert [line.name for line in explanation.beliefs] == [
         'store-out',
         'replica-lapsed',
     ]
-    assert 'missing for 0.9 s' in story.cause
+    assert 'missing for 0.9 s' in explanation.cause
 
 
 def test_refusal_leads_to_the_ends_behind_it() -> None:
-    """A user is refused as replicas ended under the request elsewhere.
+    """A request is refused because replicas crashed on it elsewhere.
 
-    Two other nodes saw the ends, under other identities; the digest joins
-    them. An end of another request is no part of it.
+    Other nodes saw the crashes, for requests with other ids; the digest
+    relates them. A crash on a request with another digest is left out.
     """
     lines = [
         _write(50, 'request-suspected', digest='d', replica='r-1', request='x'),
@@ -93,7 +94,7 @@
         _write(95, 'request-released', digest='d'),
     ]
     elsewhere = [text.replace('edge-1', 'edge-2') for text in lines[:2]]
-    story = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
-    assert story is not None
-    assert [line.time for line in story.beliefs] == [50, 52]
-    assert story.cause.startswith('replicas had ended')
+    explanation = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
+    assert explanation is not None
+    assert [line.time for line in explanation.beliefs] == [50, 52]
+    assert explanation.cause.startswith('replicas had crashed')
--- a/tests/core/events/test_costs.py
+++ b/tests/core/events/test_usage.py
@@ -1,31 +1,32 @@
-"""What a fleet has spent is added up from the lines of its nodes."""
+"""Tests for the resource usage of a fleet, summed from log lines."""
 
 from ryelatch_core.events import CostBook, Line, sum_costs
 
 
-def _write(process: str, book: CostBook) -> Line:
+def _write(process: str, tracker: CostBook) -> Line:
     detail = {
-        'life': book.life,
-        'counts': book.list_counts(),
-        'seconds': book.list_seconds(),
+        'life': tracker.life,
+        'counts': tracker.list_counts(),
+        'seconds': tracker.list_seconds(),
     }
     return Line(1.0, process, 'node-costs', detail)
 
 
 def test_time_of_a_block_is_added_to_its_activity() -> None:
     times = iter((10.0, 11.0, 11.5, 12.0, 14.0, 15.0))
-    book = CostBook(lambda: next(times))
+    tracker = CostBook(lambda: next(times))
     for seconds in (1.0, 1.5):
-        with book.spend('plan'):
+        with tracker.spend('plan'):
             assert seconds
-    assert book.list_seconds() == {'plan': 2.5, 'process': 5.0}
+    assert tracker.list_seconds() == {'plan': 2.5, 'process': 5.0}
 
 
 def test_last_line_of_each_life_counts() -> None:
-    """A node is killed and starts again under its name, and counts anew.
+    """A node is killed and restarted with the same name and new counts.
 
-    Each line tells all that a life has spent so far; taken for what was spent
-    since the line before, or for one life, the table would be wrong.
+    Each line holds the totals of one run of the process. The sum would be
+    wrong if a line were read as the increase since the line before, or if
+    both runs were taken for one.
     """
     first, second = CostBook(), CostBook()
     first.count('store', 'servers', 'watch')
