--- a/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
@@ -4,8 +4,8 @@
 from ryelatch_core.events._catalogue import EventKind, Level, list_kinds
 from ryelatch_core.events._clock import HybridClock, Stamp
 from ryelatch_core.events._explanation import (
+    Explanation,
     Line,
-    Story,
     count_reasons,
     explain_request,
     read_lines,
@@ -13,20 +13,20 @@
 from ryelatch_core.events._lines import LineLog, open_stdout
 from ryelatch_core.events._supervision import keep_running
 from ryelatch_core.events._timeline import Event, Timeline, merge_events
-from ryelatch_core.events._usage import CostBook, FleetCosts, sum_costs
+from ryelatch_core.events._usage import FleetUsage, UsageTracker, sum_usage
 
 __all__ = [
-    'CostBook',
     'Event',
     'EventKind',
-    'FleetCosts',
+    'Explanation',
+    'FleetUsage',
     'HybridClock',
     'Level',
     'Line',
     'LineLog',
     'Stamp',
-    'Story',
     'Timeline',
+    'UsageTracker',
     'catalogue',
     'count_reasons',
     'explain_request',
@@ -35,5 +35,5 @@
     'merge_events',
     'open_stdout',
     'read_lines',
-    'sum_costs',
+    'sum_usage',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
@@ -89,18 +89,18 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class Explanation:
     """The outcome of a request with the events that led to it.
 
     :param lines: lines of the request itself, in order of time.
-    :param beliefs: lines about state changes of the same process shortly
+    :param state_changes: lines about state changes of the same process shortly
         before and during the request, and about replicas that crashed on
         requests with the same digest.
     :param cause: likely cause of the outcome, in a sentence.
     """
 
     lines: tuple[Line, ...]
-    beliefs: tuple[Line, ...]
+    state_changes: tuple[Line, ...]
     cause: str
 
 
@@ -117,7 +117,7 @@
         yield Line(found['time'], found['process'], found['name'], found)
 
 
-def explain_request(lines: Iterable[Line], request: str) -> Story | None:
+def explain_request(lines: Iterable[Line], request: str) -> Explanation | None:
     """Explain the outcome of a request.
 
     :param request: id of the request.
@@ -129,7 +129,7 @@
     )
     if not request_lines:
         return None
-    beliefs = tuple(
+    state_changes = tuple(
         line
         for line in ordered
         if line.time <= request_lines[-1].time
@@ -138,10 +138,10 @@
             or _has_same_digest(line, request_lines)
         )
     )
-    cause = _find_cause(request_lines, beliefs) + _describe_missing(
+    cause = _find_cause(request_lines, state_changes) + _describe_missing(
         request_lines
     )
-    return Story(request_lines, beliefs, cause)
+    return Explanation(request_lines, state_changes, cause)
 
 
 def _is_relevant_change(line: Line, request_lines: tuple[Line, ...]) -> bool:
@@ -162,7 +162,7 @@
 
 
 def _find_cause(
-    request_lines: tuple[Line, ...], beliefs: tuple[Line, ...]
+    request_lines: tuple[Line, ...], state_changes: tuple[Line, ...]
 ) -> str:
     reasons = [
         str(line.detail.get('reason'))
@@ -171,7 +171,7 @@
     ]
     if reasons:
         reason = reasons[-1].partition(',')[0]
-        return _add_last_change(_CAUSES.get(reason, reasons[-1]), beliefs)
+        return _add_last_change(_CAUSES.get(reason, reasons[-1]), state_changes)
     failed = [line for line in request_lines if line.name == 'exchange-failed']
     last = request_lines[-1].name
     if last == 'exchange-left':
@@ -180,7 +180,7 @@
         where = failed[-1].detail
         what = where.get('reason') or f'status {where.get("status")}'
         message = f'replica {where.get("replica")} failed the attempt: {what}'
-        return _add_last_change(message, beliefs)
+        return _add_last_change(message, state_changes)
     if last == 'exchange-ended':
         return 'it was answered'
     return 'its outcome is not in these lines'
@@ -199,10 +199,10 @@
     return f'; it was sent to a replica whose entry was missing for {seconds} s'
 
 
-def _add_last_change(cause: str, beliefs: tuple[Line, ...]) -> str:
-    if not beliefs:
+def _add_last_change(cause: str, state_changes: tuple[Line, ...]) -> str:
+    if not state_changes:
         return cause
-    line = beliefs[-1]
+    line = state_changes[-1]
     return f'{cause}; the last change before: {line.name}'
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_usage.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(eq=False)
-class CostBook:
+class UsageTracker:
     """Counts the operations and the processor time of a process.
 
     The name of a count consists of parts joined by slashes, the most general
@@ -26,12 +26,12 @@
     fleet is summed and listed by these names.
 
     :param clock: returns the processor time of the process, in seconds.
-    :param life: identifier of this run of the process, as the name of a
+    :param incarnation: identifier of this run of the process, as the name of a
         process stays the same when it is restarted.
     """
 
     clock: Callable[[], float] = time.process_time
-    life: str = field(
+    incarnation: str = field(
         default_factory=lambda: uuid.uuid4().hex[:_INCARNATION_DIGITS]
     )
     counts: Counter[str] = field(default_factory=Counter)
@@ -51,7 +51,7 @@
         self.counts['/'.join(parts)] += number
 
     @contextlib.contextmanager
-    def spend(self, activity: str) -> Iterator[None]:
+    def measure_time(self, activity: str) -> Iterator[None]:
         """Add the processor time of a block, which must not await anything.
 
         :param activity: name of the activity that the time is added to.
@@ -76,19 +76,19 @@
 
 
 @dataclass(frozen=True)
-class FleetCosts:
+class FleetUsage:
     """Resource usage of all processes together.
 
-    :param lives: number of process runs that reported their usage; each
+    :param incarnations: number of process runs that reported their usage; each
         restart counts as a new run.
     """
 
-    lives: int
+    incarnations: int
     counts: Counter[str]
     seconds: dict[str, float]
 
 
-def sum_costs(lines: Iterable[Line]) -> FleetCosts:
+def sum_usage(lines: Iterable[Line]) -> FleetUsage:
     """Sum the last usage line of each run of each process.
 
     Each line holds the totals since the start of the process. The usage of a
@@ -105,4 +105,4 @@
         counts.update(detail.get('counts', {}))
         for activity, spent in detail.get('seconds', {}).items():
             seconds[activity] += spent
-    return FleetCosts(len(latest), counts, dict(seconds))
+    return FleetUsage(len(latest), counts, dict(seconds))
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
@@ -1,18 +1,18 @@
 """Chains of engines, layer placement, and the frames exchanged with engines."""
 
 from ryelatch_core.pipeline._chain import (
+    Candidate,
     Chain,
     ChainError,
-    Offer,
     check_chain,
     choose_chain,
-    cut_prompt,
+    make_candidate,
     matches_step,
-    offer_engine,
+    split_prompt,
 )
 from ryelatch_core.pipeline._flow import (
+    Assignment,
     Machine,
-    Placed,
     Placement,
     bound_throughput,
 )
@@ -31,12 +31,16 @@
     decode_frames,
     encode_frames,
 )
-from ryelatch_core.pipeline._latency import Pace, estimate_cost, find_usual
+from ryelatch_core.pipeline._latency import (
+    LatencyTracker,
+    estimate_cost,
+    find_typical_latency,
+)
 from ryelatch_core.pipeline._placement import (
     Plan,
-    cut_evenly,
     improve_placement,
     place_layers,
+    split_evenly,
 )
 from ryelatch_core.pipeline._repair import (
     Holding,
@@ -47,19 +51,19 @@
 
 __all__ = [
     'MAX_FRAME_BYTES',
+    'Assignment',
     'Cancel',
+    'Candidate',
     'Chain',
     'ChainError',
     'Frame',
     'FrameError',
     'Hello',
     'Holding',
+    'LatencyTracker',
     'Machine',
     'Move',
-    'Offer',
-    'Pace',
     'Ping',
-    'Placed',
     'Placement',
     'Plan',
     'Pong',
@@ -70,16 +74,16 @@
     'bound_throughput',
     'check_chain',
     'choose_chain',
-    'cut_evenly',
-    'cut_prompt',
     'decode_frames',
     'encode_frames',
     'estimate_cost',
     'find_gaps',
-    'find_usual',
+    'find_typical_latency',
     'improve_placement',
+    'make_candidate',
     'matches_step',
-    'offer_engine',
     'place_layers',
     'plan_repair',
+    'split_evenly',
+    'split_prompt',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class Offer:
+class Candidate:
     """An engine that can serve as a stage of a chain.
 
     :param first: first layer that it holds.
@@ -38,7 +38,7 @@
     layer: int = 0
 
 
-Chain = tuple[Offer, ...]
+Chain = tuple[Candidate, ...]
 
 
 def check_chain(
@@ -69,7 +69,7 @@
 
 
 def choose_chain(
-    candidates: Iterable[Offer],
+    candidates: Iterable[Candidate],
     layers: int,
     version: str,
     hop_cost: dict[tuple[str, str], float],
@@ -111,7 +111,7 @@
 
 def _find_cheapest_prefix(
     best: dict[tuple[int, str], tuple[float, Chain]],
-    candidate: Offer,
+    candidate: Candidate,
     hop_cost: dict[tuple[str, str], float],
 ) -> tuple[float, Chain] | None:
     options = [
@@ -122,9 +122,11 @@
     return min(options, key=lambda option: option[0], default=None)
 
 
-def offer_engine(hello: Hello, zone: str, cost: float) -> Offer:
+def make_candidate(hello: Hello, zone: str, cost: float) -> Candidate:
     """Make a candidate from the description that an engine sent."""
-    return Offer(hello.name, zone, hello.first, hello.last, hello.version, cost)
+    return Candidate(
+        hello.name, zone, hello.first, hello.last, hello.version, cost
+    )
 
 
 def matches_step(step: Step, receipt: Receipt) -> bool:
@@ -140,7 +142,7 @@
     )
 
 
-def cut_prompt(length: int, chunk: int) -> list[tuple[int, int]]:
+def split_prompt(length: int, chunk: int) -> list[tuple[int, int]]:
     """Split the positions of a prompt into chunks of one step each.
 
     :returns: pairs of first position and position after the last.
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_latency.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_latency.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Pace:
+class LatencyTracker:
     """Smoothed time between sending a step and receiving its receipt.
 
     It includes load that the engine's own reports do not show yet, and the
@@ -107,7 +107,9 @@
         )
 
 
-def find_usual(trackers: Iterable[Pace], now: float) -> float:
+def find_typical_latency(
+    trackers: Iterable[LatencyTracker], now: float
+) -> float:
     """Find the typical latency among engines that hold the same layers.
 
     :returns: low median of the latencies that are not stale, in seconds; 0 if
@@ -120,7 +122,7 @@
 
 
 def estimate_cost(
-    tracker: Pace,
+    tracker: LatencyTracker,
     typical: float,
     streams: int,
     waiting: float,
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from ryelatch_core.pipeline._flow import (
+    Assignment,
     Machine,
     Pair,
-    Placed,
     Placement,
     bound_throughput,
 )
@@ -85,7 +85,7 @@
     """
     stages = range(1, min(layers, MAX_STAGES) + 1)
     if len(machines) > _MAX_EXHAUSTIVE_SIZE or layers > _MAX_EXHAUSTIVE_SIZE:
-        return [cut_evenly(layers, count) for count in stages]
+        return [split_evenly(layers, count) for count in stages]
     return [
         [0, *inner, layers]
         for count in stages
@@ -126,7 +126,7 @@
     return Plan(current, throughput, moved)
 
 
-def cut_evenly(layers: int, stages: int) -> list[int]:
+def split_evenly(layers: int, stages: int) -> list[int]:
     """Split layers into stages whose sizes differ by at most one layer.
 
     :returns: the boundaries, from 0 to the number of layers.
@@ -143,13 +143,13 @@
     """Assign machines to stages greedily, in the given order."""
     stages = len(bounds) - 1
     rates: list[float] = [0 for _ in range(stages)]
-    assignments: list[Placed] = []
+    assignments: list[Assignment] = []
     in_zone: Counter[tuple[str, int]] = Counter()
     for machine in machines:
         span = _choose_span(machine, bounds, rates, in_zone)
         if span is None:
             continue
-        assignment = Placed(machine, bounds[span[0]], bounds[span[1]])
+        assignment = Assignment(machine, bounds[span[0]], bounds[span[1]])
         assignments.append(assignment)
         for stage in range(*span):
             rates[stage] += assignment.rate
@@ -251,7 +251,7 @@
     for first, last in ranges:
         if last - first <= assignment.machine.capacity:
             loaded = sum(layer not in held for layer in range(first, last))
-            moved = Placed(assignment.machine, first, last)
+            moved = Assignment(assignment.machine, first, last)
             yield (
                 (*placement[:index], moved, *placement[index + 1 :]),
                 loaded,
--- a/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
@@ -29,10 +29,10 @@
     Tls,
     Zone,
 )
-from ryelatch_core.settings._text import find_base, render_text
+from ryelatch_core.settings._text import find_base_revision, render_text
 from ryelatch_core.settings._tree import (
+    AccountDirectory,
     AccountEntry,
-    Directory,
     EffectivePolicy,
     Origin,
     build_directory,
@@ -44,11 +44,11 @@
     'MAX_BYTES',
     'ROOT_KEY',
     'Account',
+    'AccountDirectory',
     'AccountEntry',
     'Address',
     'Bundle',
     'Conflict',
-    'Directory',
     'EffectivePolicy',
     'EngineRules',
     'Index',
@@ -71,7 +71,7 @@
     'diff_parts',
     'digest_blob',
     'explain_policy',
-    'find_base',
+    'find_base_revision',
     'hash_key',
     'join_bundle',
     'rebase',
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Directory:
+class AccountDirectory:
     """Client accounts by the hash of each key, and by path."""
 
     by_key: Mapping[str, AccountEntry]
@@ -80,7 +80,7 @@
     return replace(parent, **overrides)
 
 
-def build_directory(settings: Settings) -> Directory:
+def build_directory(settings: Settings) -> AccountDirectory:
     """Compute the effective policy of each client account.
 
     This runs once per revision instead of once per request.
@@ -91,7 +91,7 @@
             settings, 'accounts', inherit(DEFAULTS, settings.policy)
         )
     ]
-    return Directory(
+    return AccountDirectory(
         {key: entry for entry, keys in entries for key in keys},
         {entry.path: entry for entry, _ in entries},
     )
--- a/packages/ryelatch-core/src/ryelatch_core/streams/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/streams/__init__.py
@@ -1,5 +1,5 @@
 """Event streams: complete events, in order, across several upstreams."""
 
-from ryelatch_core.streams._events import EventCutter, StreamError
+from ryelatch_core.streams._events import EventSplitter, StreamError
 
-__all__ = ['EventCutter', 'StreamError']
+__all__ = ['EventSplitter', 'StreamError']
--- a/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
+++ b/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
@@ -10,7 +10,7 @@
     """An upstream skipped an event."""
 
 
-class EventCutter:
+class EventSplitter:
     """Returns the complete events of a byte stream, each once and in order.
 
     An upstream that fails may stop in the middle of an event. The client must
@@ -26,15 +26,15 @@
         self._buffer = b''
 
     @property
-    def torn(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether the stream ends with a partial event so far."""
         return bool(self._buffer)
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Discard a partial event, before another upstream continues."""
         self._buffer = b''
 
-    def cut(self, piece: bytes) -> bytes:
+    def feed(self, piece: bytes) -> bytes:
         """Process bytes from the upstream.
 
         :returns: the complete events that the client does not have yet, byte
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -6,7 +6,7 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Stage
 from ryelatch_core.quarantine import MOST_ENDS
-from ryelatch_core.streams import EventCutter, StreamError
+from ryelatch_core.streams import EventSplitter, StreamError
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._choice import (
     choose_request_path,
@@ -74,7 +74,7 @@
 
     :raises AnswerBroken: if the answer has started and can't be completed.
     """
-    progress = Progress(EventCutter(request.terms.last_event))
+    progress = Progress(EventSplitter(request.terms.last_event))
     while _may_send(context, exchange, request, progress):
         path = await _find_path(context, exchange, request, progress)
         if not path:
@@ -205,7 +205,7 @@
         attempt=exchange.sends,
         left=round_seconds(request.ends - context.clock.monotonic()),
         version=request.version,
-        last_event=progress.cutter.last,
+        last_event=progress.splitter.last,
         avoided=len(context.replicas.list_suspects()),
         list_age=round_seconds(context.replicas.known.age),
         missing=round_seconds(
@@ -228,7 +228,7 @@
         request.ends - context.clock.monotonic(),
         request.account,
         stream.path,
-        progress.cutter.last,
+        progress.splitter.last,
     )
     async with context.upstreams.send(
         stream.first_replica,
@@ -286,18 +286,18 @@
     answer: Answer,
     progress: Progress,
 ) -> _AttemptResult:
-    cutter = progress.cutter
-    cutter.restart()
+    splitter = progress.splitter
+    splitter.discard_partial()
     exchange = stream.exchange
     async for chunk in answer.iterate():
-        events = cutter.cut(chunk)
+        events = splitter.feed(chunk)
         if not events:
             continue
         record_progress(context, stream)
         if not exchange.started:
             await exchange.start(answer.status, _strip_length(answer))
         await exchange.write(events)
-    if cutter.torn:
+    if splitter.has_partial:
         raise SendError(SendErrorKind.LOST, 'ended in the middle of an event')
     if not exchange.started:
         await exchange.start(answer.status, _strip_length(answer))
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ryelatch_core.events import CostBook, LineLog
+from ryelatch_core.events import LineLog, UsageTracker
 from ryelatch_core.fleet import (
     AccountBook,
     DurationBook,
@@ -34,7 +34,7 @@
     startup: RelayStartup
     log: LineLog
     clock: Clock
-    chance: random.Random
+    random_source: random.Random
     configuration: ConfigurationView
     replicas: ReplicaView
     upstreams: Upstreams
@@ -43,7 +43,7 @@
     budget: RetryBudget
     quarantine: Quarantine
     throttle: Throttle
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     load: LoadBook = field(default_factory=LoadBook)
     crash_checks: CrashChecks = field(init=False)
     paces: SlowReplicaChecks = field(init=False)
@@ -68,4 +68,4 @@
 
     def draw(self) -> float:
         """Draw a random number from 0 to 1."""
-        return self.chance.random()
+        return self.random_source.random()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -4,7 +4,7 @@
 
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import LATE_SHARE, Replica
-from ryelatch_core.streams import EventCutter
+from ryelatch_core.streams import EventSplitter
 from ryelatch_node.relay._errors import SendErrorKind
 from ryelatch_node.relay._exchange import round_seconds
 from ryelatch_node.relay._parts import RelayContext
@@ -24,7 +24,7 @@
 class Progress:
     """What the attempts of one request have brought so far.
 
-    :param cutter: cuts the answer into events, over all attempts.
+    :param splitter: cuts the answer into events, over all attempts.
     :param excluded: first replicas whose runs failed or were interrupted, which
         other attempts avoid where they can.
     :param may_have_run: whether an attempt may have run without an answer.
@@ -33,7 +33,7 @@
         it is passed on if no other attempt succeeds.
     """
 
-    cutter: EventCutter
+    splitter: EventSplitter
     excluded: set[str] = field(default_factory=set)
     may_have_run: bool = False
     crashes: int = 0
@@ -150,7 +150,7 @@
         outcome=kind.value,
         answered=stream.answered,
         events=stream.delivered,
-        last_event=progress.cutter.last,
+        last_event=progress.splitter.last,
     )
     if kind is not SendErrorKind.INVALID and reason != 'silent':
         context.replicas.suspect(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ryelatch_core.events import CostBook, LineLog, catalogue, keep_running
+from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
 from ryelatch_core.fleet import LoadBook, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
@@ -95,7 +95,7 @@
         self._costs_recorded = self._context.clock.monotonic()
         self._context.log.record(
             catalogue.NODE_COSTS,
-            life=self._context.costs.life,
+            life=self._context.costs.incarnation,
             counts=self._context.costs.list_counts(),
             seconds=self._context.costs.list_seconds(),
         )
@@ -184,7 +184,7 @@
         startup=startup,
         log=app.find('log', LineLog),
         clock=app.clock,
-        chance=app.chance,
+        random_source=app.random_source,
         configuration=app.find('configuration', ConfigurationView),
         replicas=replicas,
         upstreams=Upstreams(wire, _make_answer_hook(throttle, replicas)),
@@ -197,7 +197,7 @@
         ),
         quarantine=app.find('quarantine', Quarantine),
         throttle=throttle,
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
         load=load,
     )
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -135,7 +135,7 @@
             await asyncio.sleep(TICK_SECONDS)
             # Events that arrived while this process was blocked are still
             # unread, and every stream would look stalled for that time.
-            if not self._lag.note(due, clock.monotonic()):
+            if not self._lag.record(due, clock.monotonic()):
                 self._check_streams()
 
     def _check_streams(self) -> None:
@@ -187,7 +187,7 @@
             async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
                 report = await self.context.orders.read_report(replica)
         except TimeoutError:
-            self._lag.note(
+            self._lag.record(
                 sent + _REPORT_TIMEOUT_SECONDS, self.context.clock.monotonic()
             )
             if self._lag.was_late(sent):
--- a/tests/core/events/test_explanation.py
+++ b/tests/core/events/test_explanation.py
@@ -34,7 +34,7 @@
     """
     explanation = explain_request(read_lines(_LINES), 'a')
     assert explanation is not None
-    names = [line.name for line in explanation.beliefs]
+    names = [line.name for line in explanation.state_changes]
     assert names == ['store-out', 'configuration-stale']
     assert 'no fresh word from the store' in explanation.cause
 
@@ -67,7 +67,7 @@
     )
     explanation = explain_request(read_lines(lines), 'c')
     assert explanation is not None
-    assert [line.name for line in explanation.beliefs] == [
+    assert [line.name for line in explanation.state_changes] == [
         'store-out',
         'replica-lapsed',
     ]
@@ -96,5 +96,5 @@
     elsewhere = [text.replace('edge-1', 'edge-2') for text in lines[:2]]
     explanation = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
     assert explanation is not None
-    assert [line.time for line in explanation.beliefs] == [50, 52]
+    assert [line.time for line in explanation.state_changes] == [50, 52]
     assert explanation.cause.startswith('replicas had crashed')
--- a/tests/core/pipeline/test_latency.py
+++ b/tests/core/pipeline/test_latency.py
@@ -1,12 +1,16 @@
 """Tests for the measured latency of engines and the estimated cost of steps."""
 
-from ryelatch_core.pipeline import Pace, estimate_cost, find_usual
+from ryelatch_core.pipeline import (
+    LatencyTracker,
+    estimate_cost,
+    find_typical_latency,
+)
 
 _STREAMS = 6
 
 
 def _record_steps(
-    tracker: Pace, start: float, end: float, seconds: float
+    tracker: LatencyTracker, start: float, end: float, seconds: float
 ) -> None:
     """Record steps of several streams on an engine, all at the same times."""
     for step in range(1, round((end - start) / seconds) + 1):
@@ -20,10 +24,10 @@
     New streams avoid it until the measured latency has decayed. Then a single
     stream tries it, and no second one before a receipt has arrived.
     """
-    trackers = [Pace(), Pace(), Pace()]
+    trackers = [LatencyTracker(), LatencyTracker(), LatencyTracker()]
     for tracker, latency in zip(trackers, (0.01, 0.01, 0.1), strict=True):
         _record_steps(tracker, 99, 100, latency)
-    typical = find_usual(trackers, 100)
+    typical = find_typical_latency(trackers, 100)
     assert typical == trackers[0].latency
     assert trackers[2].is_slow(typical, 100)
     assert not trackers[0].is_slow(typical, 100)
@@ -39,7 +43,7 @@
 
 def test_one_pause_is_no_crawl() -> None:
     """A node or an engine pauses for a moment, which delays all steps."""
-    tracker = Pace()
+    tracker = LatencyTracker()
     _record_steps(tracker, 100, 101, 0.004)
     _record_steps(tracker, 101, 101.15, 0.15)
     assert not tracker.is_slow(0.004, 101.15)
@@ -51,14 +55,14 @@
 
 def test_first_steps_in_a_pause_are_no_crawl() -> None:
     """Streams start on an engine while it pauses for a moment."""
-    tracker = Pace()
+    tracker = LatencyTracker()
     _record_steps(tracker, 100, 100.15, 0.15)
     assert not tracker.is_slow(0.004, 100.15)
 
 
 def test_old_crawl_and_a_pause_are_no_crawl() -> None:
     """An engine that was slow several seconds ago pauses for a moment."""
-    tracker = Pace()
+    tracker = LatencyTracker()
     _record_steps(tracker, 90, 91, 0.1)
     _record_steps(tracker, 100, 100.15, 0.15)
     assert not tracker.is_slow(0.004, 100.15)
@@ -66,19 +70,23 @@
 
 def test_crawl_is_seen_within_a_second() -> None:
     """All steps of an engine suddenly take twenty-five times as long."""
-    tracker = Pace()
+    tracker = LatencyTracker()
     _record_steps(tracker, 100, 101, 0.004)
     _record_steps(tracker, 101, 102, 0.1)
     assert tracker.is_slow(0.004, 102)
 
 
 def test_pace_of_two_is_that_of_the_faster() -> None:
-    trackers = [Pace(0.01, 10), Pace(0.2, 10), Pace(9, 1)]
-    assert find_usual(trackers, 11) == trackers[0].latency
+    trackers = [
+        LatencyTracker(0.01, 10),
+        LatencyTracker(0.2, 10),
+        LatencyTracker(9, 1),
+    ]
+    assert find_typical_latency(trackers, 11) == trackers[0].latency
 
 
 def test_streams_spread_over_equal_engines() -> None:
-    even = Pace(0.01, 10)
+    even = LatencyTracker(0.01, 10)
     costs = [
         estimate_cost(even, 0.01, streams, 0, 1000, 10) for streams in range(4)
     ]
@@ -87,7 +95,7 @@
 
 def test_own_dispatches_count_before_reports_do() -> None:
     """The node's own streams count before the engine reports its queue."""
-    tracker = Pace()
+    tracker = LatencyTracker()
     assert estimate_cost(tracker, 0, 5, 0, 100, 10) > estimate_cost(
         tracker, 0, 0, 0, 100, 10
     )
@@ -99,11 +107,11 @@
     Its peer has no recent latency, so the slow engine alone would define the
     typical latency; it is compared with its own long-term average instead.
     """
-    tracker = Pace()
+    tracker = LatencyTracker()
     for step in range(500):
         tracker.observe(0.003, 100 + step / 100)
     for step in range(30):
         tracker.observe(0.1, 105 + step / 10)
-    typical = find_usual([tracker, Pace()], 108)
+    typical = find_typical_latency([tracker, LatencyTracker()], 108)
     assert typical == tracker.latency
     assert tracker.is_slow(typical, 108)
