--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -41,7 +41,7 @@
 RETURN_SECONDS = 2.0
 """Time after an outage in which entries come back that lapsed in it."""
 
-LEAST_OLDEST_SECONDS = 0.8
+MIN_AGE_BOUND_SECONDS = 0.8
 """Age of the list that is always allowed, as each look at the store costs."""
 
 
@@ -67,10 +67,10 @@
     :param steady: seconds after some trouble for which a node is not held to
         that bound.
     """
-    way = SEND_SECONDS + MARGIN_SECONDS
+    delivery = SEND_SECONDS + MARGIN_SECONDS
     return DepartureTerms(
         bound=bound,
-        oldest=max(bound - way, LEAST_OLDEST_SECONDS),
+        oldest=max(bound - delivery, MIN_AGE_BOUND_SECONDS),
         # The outage may have lasted as long as a call takes to be given up.
-        kept=max(0, min(ANSWER_SECONDS + RETURN_SECONDS, steady - way)),
+        kept=max(0, min(ANSWER_SECONDS + RETURN_SECONDS, steady - delivery)),
     )
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_peers.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_peers.py
@@ -5,9 +5,9 @@
 
 from ryelatch_core.membership._roster import Vm
 
-FULL_MESH = 16
+FULL_MESH_PEERS = 16
 ZONE_PEERS = 8
-FAR_PEERS = 2
+PEERS_PER_REMOTE_ZONE = 2
 ZONE_WATCHERS = 2
 
 
@@ -20,19 +20,19 @@
     from node to node. So the count grows with zones, not with nodes.
     """
     others = [node for node in nodes if node.name != name]
-    if len(others) <= FULL_MESH:
+    if len(others) <= FULL_MESH_PEERS:
         return others
-    own = [node for node in others if node.zone == zone]
-    ring = sorted(own, key=lambda node: (node.name <= name, node.name))
-    far_zones = sorted({node.zone for node in others} - {zone})
-    far = [
+    local = [node for node in others if node.zone == zone]
+    ring = sorted(local, key=lambda node: (node.name <= name, node.name))
+    remote_zones = sorted({node.zone for node in others} - {zone})
+    remote = [
         node
-        for far_zone in far_zones
+        for remote_zone in remote_zones
         for node in _rank(
-            name, (node for node in others if node.zone == far_zone)
-        )[:FAR_PEERS]
+            name, (node for node in others if node.zone == remote_zone)
+        )[:PEERS_PER_REMOTE_ZONE]
     ]
-    return ring[:ZONE_PEERS] + far
+    return ring[:ZONE_PEERS] + remote
 
 
 def should_watch(name: str, zone_peers: Iterable[str]) -> bool:
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -23,14 +23,14 @@
 class Member:
     """What is known of one VM.
 
-    :param said: it said itself that it leaves.
-    :param told: peers that know first-hand that it leaves.
+    :param announced: it said itself that it leaves.
+    :param reported_by: peers that know first-hand that it leaves.
     :param missing: consecutive lists without it.
     """
 
     vm: Vm
-    said: bool = False
-    told: frozenset[str] = frozenset()
+    announced: bool = False
+    reported_by: frozenset[str] = frozenset()
     missing: int = 0
 
     @property
@@ -42,7 +42,7 @@
         sent to an upstream that leaves is cut off, work that is kept from
         one that stays goes elsewhere.
         """
-        return self.vm.leaving or self.said or bool(self.told)
+        return self.vm.leaving or self.announced or bool(self.reported_by)
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     leaving: tuple[str, ...] = ()
 
 
-_MISSING_LIMIT = 3
+MISSING_LISTS = 3
 
 
 class Roster:
@@ -91,7 +91,7 @@
         left = tuple(
             name
             for name in self.members
-            if name not in listed and (settled or self._miss(name))
+            if name not in listed and (settled or self._count_missing(name))
         )
         for name in left:
             del self.members[name]
@@ -102,14 +102,14 @@
         member = self.members.get(name)
         if member is None:
             return False
-        self.members[name] = replace(member, said=True)
+        self.members[name] = replace(member, announced=True)
         return not member.leaving
 
     def note_staying(self, name: str) -> None:
         """Note a VM's own word, after a restart, that it stays."""
         member = self.members.get(name)
         if member is not None:
-            self.members[name] = replace(member, said=False)
+            self.members[name] = replace(member, announced=False)
 
     def apply_peer(self, peer: str, names: Iterable[str]) -> tuple[str, ...]:
         """Take in all VMs that a peer knows first-hand to be leaving.
@@ -119,26 +119,26 @@
 
         :returns: the names that were news.
         """
-        told = frozenset(names)
-        news = tuple(
+        reported_by = frozenset(names)
+        newly_leaving = tuple(
             name
             for name, member in self.members.items()
-            if name in told and not member.leaving
+            if name in reported_by and not member.leaving
         )
         for name, member in self.members.items():
-            if name in told:
-                peers = member.told | {peer}
+            if name in reported_by:
+                peers = member.reported_by | {peer}
             else:
-                peers = member.told - {peer}
-            self.members[name] = replace(member, told=peers)
-        return news
+                peers = member.reported_by - {peer}
+            self.members[name] = replace(member, reported_by=peers)
+        return newly_leaving
 
     def list_leaving(self) -> tuple[str, ...]:
         """Name the VMs known first-hand to be leaving."""
         return tuple(
             name
             for name, member in self.members.items()
-            if member.said or member.vm.leaving
+            if member.announced or member.vm.leaving
         )
 
     def list_role(self, role: str) -> list[Vm]:
@@ -157,9 +157,9 @@
         member = self.members.get(name)
         return member is not None and member.leaving
 
-    def _miss(self, name: str) -> bool:
+    def _count_missing(self, name: str) -> bool:
         member = self.members[name]
-        if member.missing + 1 < _MISSING_LIMIT:
+        if member.missing + 1 < MISSING_LISTS:
             self.members[name] = replace(member, missing=member.missing + 1)
             return False
         return True
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
@@ -16,7 +16,7 @@
 noticed in time; below twenty nodes this costs what the others save.
 """
 
-FOLLOWERS = 48
+NODES_PER_WATCHER = 48
 """Nodes of a zone for each one that watches for them.
 
 A change of a hundred entries is 4 kB for each of them as it is sent, a sixth
@@ -40,13 +40,13 @@
 
 
 def choose_watchers(
-    me: str,
+    node_name: str,
     zone: str,
     nodes: Iterable[NodeEntry],
 ) -> tuple[NodeEntry, ...]:
     """Choose whom a node asks, best first: the own zone's, then others'.
 
-    :param me: name of the node that asks.
+    :param node_name: name of the node that asks.
     :returns: none of the own zone's if this node is one of them; they watch
         for themselves while they can. Where all of a zone are cut off, its
         nodes ask another zone's: asking the store they would be as many calls
@@ -56,11 +56,13 @@
     for node in nodes:
         if node.address:
             zones.setdefault(node.zone, []).append(node)
-    near = _rank(zones.pop(zone, []))
-    far = [one for name in sorted(zones) for one in _rank(zones[name])]
-    if any(one.name == me for one in near):
-        near = []
-    return (*_turn(near, me), *_turn(far, me))
+    local = _select_watchers(zones.pop(zone, []))
+    remote = [
+        one for name in sorted(zones) for one in _select_watchers(zones[name])
+    ]
+    if any(one.name == node_name for one in local):
+        local = []
+    return (*_rotate(local, node_name), *_rotate(remote, node_name))
 
 
 def shares_watches(nodes: Iterable[NodeEntry]) -> bool:
@@ -68,23 +70,27 @@
     return len([one for one in nodes if one.address]) >= FEWEST_NODES
 
 
-def watches_for_others(me: str, zone: str, nodes: Iterable[NodeEntry]) -> bool:
+def watches_for_others(
+    node_name: str, zone: str, nodes: Iterable[NodeEntry]
+) -> bool:
     """Whether a node is one of those that watch for others."""
     known = tuple(nodes)
     own = [one for one in known if one.zone == zone and one.address]
-    return shares_watches(known) and any(one.name == me for one in _rank(own))
+    return shares_watches(known) and any(
+        one.name == node_name for one in _select_watchers(own)
+    )
 
 
-def _rank(nodes: list[NodeEntry]) -> list[NodeEntry]:
+def _select_watchers(nodes: list[NodeEntry]) -> list[NodeEntry]:
     """List the nodes of a zone that watch: those with the widest links."""
-    count = -(-len(nodes) // FOLLOWERS)
+    count = -(-len(nodes) // NODES_PER_WATCHER)
     ordered = sorted(nodes, key=lambda one: (-one.link_mbps, one.name))
     return ordered[:count]
 
 
-def _turn(nodes: list[NodeEntry], me: str) -> list[NodeEntry]:
+def _rotate(nodes: list[NodeEntry], node_name: str) -> list[NodeEntry]:
     """Let each node begin with another one, so that all are asked alike."""
     if not nodes:
         return []
-    first = zlib.crc32(me.encode()) % len(nodes)
+    first = zlib.crc32(node_name.encode()) % len(nodes)
     return [*nodes[first:], *nodes[:first]]
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -1,71 +1,80 @@
-"""Tells which requests are refused as replicas end under them.
+"""Tracks replica crashes by request and decides which requests are refused.
 
-A replica that ends takes along all that it was running, ninety requests at
-most, and one of them may be the cause. It is the one under which others end
-too. So each end counts against those that had just begun there, by what they
-ask for, and is forgotten for those that then run on elsewhere.
+A crash of a replica fails every request that it was running, up to ninety, and
+one of them may be the cause: the one that crashes further replicas when it is
+sent again. So each crash counts against the requests that had just begun to run
+there, identified by their content. The count is dropped for a request that then
+runs on another replica.
 """
 
 from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelatch_core.quarantine._case import (
+from ryelatch_core.quarantine._causes import (
+    MOST_ENDS,
+    RETENTION_SECONDS,
+    list_causes,
+)
+from ryelatch_core.quarantine._crash_state import CrashState
+from ryelatch_core.quarantine._crashes import (
     NO_CASE,
     Case,
     Manner,
     StoredCase,
 )
-from ryelatch_core.quarantine._causes import (
-    KEPT_SECONDS,
-    MOST_ENDS,
-    list_causes,
-)
-from ryelatch_core.quarantine._known import Known
 
 FRESH_SECONDS = 0.5
-"""How long after its first event a run is taken for a cause of an end.
+"""Time after its first event in which a request may be the cause of a crash.
 
-A request that ends replicas does so as it begins to run. One that has run for
-longer somewhere is cleared, as it would have ended that replica.
+A request that crashes replicas does so when it begins to run. One that has run
+for longer on some replica is cleared, as it would have crashed that replica.
 """
 
-TELL_SECONDS = 0.5
-"""How long the first end under a request is kept to this node, at the mean.
+REPORT_DELAY_SECONDS = 0.5
+"""Mean delay before the first crash under a request is written to the store.
 
-Most requests run on elsewhere within that time, and the store hears nothing
-of them. The second end is told at once.
+Most requests run on another replica within that time, and nothing is written
+for them. The second crash is written at once.
 """
 
 SUSPECT_SECONDS = 120.0
-"""How long ends count that are too few for a refusal."""
+"""How long crashes count that are too few for a refusal."""
 
-LEFT_SECONDS = 600.0
-"""By how much longer others leave it to a node to delete what it has told."""
+CLEANUP_DELAY_SECONDS = 600.0
+"""Mean extra time after which a node deletes an object of another node.
 
-REWRITE_SECONDS = 3.0
-"""Spread of writing again what the store has lost, so that one node does."""
+Until then the deletion is left to the node that wrote the object.
+"""
+
+REWRITE_SPREAD_SECONDS = 3.0
+"""Range of the delay before an object that the store has lost is rewritten.
+
+Delays differ from node to node, so that one node writes it for all.
+"""
 
-MOST_CASES = 4096
-"""Requests of which ends are kept; beyond that the oldest are forgotten."""
+MAX_TRACKED_REQUESTS = 4096
+"""Requests whose crashes are tracked; beyond that the oldest are dropped."""
 
 CLEARED_SECONDS = 60.0
-"""How long a request that has run is not taken for the cause of an end.
+"""How long a request that has run is not suspected of causing a crash.
 
-Requests that many ask for, of one account alike, would else be suspected
-with each replica that ends. With other software they may be the cause later.
+Equal requests that one account sends often would otherwise be suspected at
+each crash. After an update of the replicas' software they may become a cause.
 """
 
-MOST_CLEARED = 4096
-"""Requests that are remembered to have run; at 18 a second, all in time."""
+MAX_CLEARED_REQUESTS = 4096
+"""Requests remembered as cleared; enough for 18 a second over their time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What the store is to be told.
+    """A conditional write, or deletion, of a request's object in the store.
 
-    :param case: what its object is to say; nothing if it is to go.
-    :param revision: that the object must have; 0 if there must be none.
+    :param digest: digest of the request; names the object.
+    :param case: crashes to write; ``None`` deletes the object.
+    :param revision: revision that the object must have; 0 if it must not
+        exist.
     """
 
     digest: str
@@ -74,74 +83,79 @@
 
 
 class Book:
-    """The ends that this node and others have seen, by request.
+    """Crashes that this node and others have seen, by digest of the request.
 
-    :param patience: from 0 to 1; nodes differ in it, so that they do not
-        all do the same at once.
+    :param jitter: from 0 to 1; differs from node to node, so that they do
+        not all write at once.
     """
 
-    def __init__(self, patience: float) -> None:
-        self._patience = patience
-        self._known: OrderedDict[str, Known] = OrderedDict()
+    def __init__(self, jitter: float) -> None:
+        self._jitter = jitter
+        self._known: OrderedDict[str, CrashState] = OrderedDict()
         self._cleared: OrderedDict[str, float] = OrderedDict()
-        self._many: set[str] = set()
+        self._over_threshold: set[str] = set()
         self._refused: dict[str, Case] = {}
 
     def __len__(self) -> int:
-        """Count the requests under which replicas have ended."""
+        """Count the requests under which replicas have crashed."""
         return len(self._known)
 
     @property
     def refused(self) -> dict[str, Case]:
-        """The requests that are refused, as of the last judgement."""
+        """Requests refused since the last evaluation, with their crashes."""
         return dict(self._refused)
 
     def find_refused(self, digest: str) -> Case | None:
-        """Find why a request is refused; nothing if it isn't."""
+        """Find the crashes for which a request is refused.
+
+        :returns: ``None`` if the request is not refused.
+        """
         return self._refused.get(digest)
 
     def has_news(self, now: float) -> bool:
-        """Whether the store is to be told of something, now or later."""
+        """Whether anything has to be written to the store, now or later."""
         return any(
-            self._is_cleared(digest, now) or not known.told.covers(known.own)
+            self._is_cleared(digest, now)
+            or not known.shared.covers(known.local)
             for digest, known in self._known.items()
         )
 
     def is_suspect(self, digest: str, now: float) -> bool:
-        """Whether a replica has ended under a request that may be why."""
+        """Whether a request may have caused the crash of a replica."""
         return digest in self._known and not self._is_cleared(digest, now)
 
     def note_end(
         self,
         digest: str,
-        life: str,
-        manner: Manner,
+        incarnation: str,
+        phase: Manner,
         now: float,
     ) -> bool:
-        """Note that a replica has ended under a request.
+        """Record that a replica has crashed under a request.
 
-        :returns: whether that is new.
+        :param incarnation: name of the replica's incarnation.
+        :returns: whether the crash is new and counts against the request.
         """
-        known = self._known.get(digest, Known())
-        seen = NO_CASE.add(life, manner)
+        known = self._known.get(digest, CrashState())
+        seen = NO_CASE.add(incarnation, phase)
         if self._is_cleared(digest, now) or known.case.covers(seen):
             return False
         again = bool(known.case.lives)
-        wait = 0 if again else TELL_SECONDS * (0.5 + self._patience)
+        wait = 0 if again else REPORT_DELAY_SECONDS * (0.5 + self._jitter)
         due = min(known.due or now + wait, now + wait)
-        own = known.own.add(life, manner)
-        self._keep(digest, replace(known, own=own, changed=now, due=due))
+        local = known.local.add(incarnation, phase)
+        self._update(digest, replace(known, local=local, changed=now, due=due))
         self.judge(now)
         return True
 
     def note_run(self, digest: str, now: float) -> bool:
-        """Note that a request has run and its replica is still there.
+        """Record that a request has run and its replica has not crashed.
 
-        :returns: whether a replica had ended under it.
+        :returns: whether crashes were recorded for the request.
         """
         self._cleared[digest] = now
         self._cleared.move_to_end(digest)
-        if len(self._cleared) > MOST_CLEARED:
+        if len(self._cleared) > MAX_CLEARED_REQUESTS:
             self._cleared.popitem(last=False)
         known = self._known.get(digest)
         if known is None:
@@ -149,74 +163,78 @@
         if known.stored is None:
             del self._known[digest]
         else:
-            self._keep(digest, replace(known, own=NO_CASE))
+            self._update(digest, replace(known, local=NO_CASE))
         self.judge(now)
         return True
 
     def put(self, stored: StoredCase, now: float) -> None:
-        """Take what the store holds of a request."""
-        known = self._known.get(stored.digest, Known())
+        """Apply what the store holds about a request."""
+        known = self._known.get(stored.digest, CrashState())
         if known.stored and known.stored.revision >= stored.revision:
             return
-        self._keep(stored.digest, replace(known, stored=stored, changed=now))
+        self._update(stored.digest, replace(known, stored=stored, changed=now))
         self.judge(now)
 
     def remove(self, digest: str, now: float) -> None:
-        """Take note that an object was deleted: the request is let in again."""
+        """Apply the deletion of an object: the request is admitted again."""
         self._known.pop(digest, None)
         self.judge(now)
 
     def replace(self, listed: Iterable[StoredCase], now: float) -> None:
-        """Take all that the store holds.
+        """Apply a complete list of what the store holds.
 
-        What it has lost of requests that are refused is written again: the
-        store may have come back from an older copy, and three more replicas
-        would end until they are refused again.
+        Missing objects of refused requests are written again: the store may
+        have been restored from an older copy, and each such request would
+        crash three more replicas before it is refused again.
         """
         fresh = {stored.digest: stored for stored in listed}
         for digest, known in tuple(self._known.items()):
             if digest in fresh or known.stored is None:
                 continue
             if digest in self._refused:
-                due = now + REWRITE_SECONDS * self._patience
-                self._keep(digest, Known(known.case, None, now, due))
-            elif known.own == NO_CASE:
+                due = now + REWRITE_SPREAD_SECONDS * self._jitter
+                self._update(digest, CrashState(known.case, None, now, due))
+            elif known.local == NO_CASE:
                 del self._known[digest]
             else:
-                self._keep(digest, replace(known, stored=None))
+                self._update(digest, replace(known, stored=None))
         for stored in fresh.values():
-            known = self._known.get(stored.digest, Known())
-            self._keep(
+            known = self._known.get(stored.digest, CrashState())
+            self._update(
                 stored.digest, replace(known, stored=stored, changed=now)
             )
         self.judge(now)
 
     def judge(self, now: float) -> None:
-        """Decide anew which requests are refused."""
-        self._many &= self._known.keys()
+        """Recompute which requests are refused."""
+        self._over_threshold &= self._known.keys()
         suspects = [
-            digest for digest in self._many if not self._is_cleared(digest, now)
+            digest
+            for digest in self._over_threshold
+            if not self._is_cleared(digest, now)
         ]
         self._refused = dict(list_causes(suspects, self._known, now))
 
     def list_due(self, now: float) -> list[Step]:
-        """List what the store is to be told now, and forget what lapsed."""
-        steps = [
-            step
+        """List the writes that are due now, and drop expired requests."""
+        writes = [
+            write
             for digest, known in self._known.items()
-            if (step := self._find_step(digest, known, now))
+            if (write := self._find_write(digest, known, now))
         ]
         for digest, known in tuple(self._known.items()):
-            if known.stored is None and self._has_lapsed(digest, known, now):
+            if known.stored is None and self._has_expired(digest, known, now):
                 del self._known[digest]
-        return steps
+        return writes
 
-    def _find_step(self, digest: str, known: Known, now: float) -> Step | None:
+    def _find_write(
+        self, digest: str, known: CrashState, now: float
+    ) -> Step | None:
         stored = known.stored
         cleared = self._is_cleared(digest, now)
-        if cleared or self._has_lapsed(digest, known, now):
+        if cleared or self._has_expired(digest, known, now):
             return Step(digest, None, stored.revision) if stored else None
-        if now < known.due or known.told.covers(known.own):
+        if now < known.due or known.shared.covers(known.local):
             return None
         return Step(digest, known.case, stored.revision if stored else 0)
 
@@ -224,20 +242,24 @@
         ran = self._cleared.get(digest)
         return ran is not None and now - ran < CLEARED_SECONDS
 
-    def _has_lapsed(self, digest: str, known: Known, now: float) -> bool:
-        lasts = SUSPECT_SECONDS
-        if digest in self._many:
-            lasts = KEPT_SECONDS
-        if known.own == NO_CASE:
-            lasts += LEFT_SECONDS * (0.5 + self._patience)
-        return now - known.changed > lasts
+    def _has_expired(self, digest: str, known: CrashState, now: float) -> bool:
+        lifetime = SUSPECT_SECONDS
+        if digest in self._over_threshold:
+            lifetime = RETENTION_SECONDS
+        if known.local == NO_CASE:
+            lifetime += CLEANUP_DELAY_SECONDS * (0.5 + self._jitter)
+        return now - known.changed > lifetime
 
-    def _keep(self, digest: str, known: Known) -> None:
-        """Keep what is known, and forget the oldest that is not refused."""
+    def _update(self, digest: str, known: CrashState) -> None:
+        """Set a request's state, and drop the oldest that is not refused."""
         self._known[digest] = known
         self._known.move_to_end(digest)
         if len(known.case.lives) >= MOST_ENDS:
-            self._many.add(digest)
-        if len(self._known) > MOST_CASES:
-            oldest = (one for one in self._known if one not in self._refused)
+            self._over_threshold.add(digest)
+        if len(self._known) > MAX_TRACKED_REQUESTS:
+            oldest = (
+                tracked
+                for tracked in self._known
+                if tracked not in self._refused
+            )
             del self._known[next(oldest, digest)]
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -1,79 +1,83 @@
-"""Which requests are why replicas end, and for how long they are refused."""
+"""Finds the requests that cause crashes, and how long they are refused."""
 
 import itertools
 from collections.abc import Iterable, Iterator, Mapping
 
-from ryelatch_core.quarantine._case import Case
-from ryelatch_core.quarantine._known import Known
+from ryelatch_core.quarantine._crash_state import CrashState
+from ryelatch_core.quarantine._crashes import Case
 
 MOST_ENDS = 3
-"""Replicas that may end under a request before it is refused.
+"""Crashes under a request at which it is refused.
 
-Two may end by chance under one that is resent where a group of them is lost;
-each more costs all that others have there.
+A request that is resent while a group of replicas is lost can meet two crashes
+by chance. Each further crash fails all other requests of that replica.
 """
 
 SETTLE_SECONDS = 1.0
-"""How long those that had not begun wait for a better cause to be told.
+"""Delay before a request that was only waiting at crashes is refused.
 
-The node that sent the request which had begun tells within 0.8 s.
+The node that sent the request which had begun to run there, and so is the
+likelier cause, writes that crash to the store within 0.8 s.
 """
 
-REFUSED_SECONDS = 600.0
-"""How long a request is refused after its third end.
+FIRST_REFUSAL_SECONDS = 600.0
+"""How long a request is refused after its third crash.
 
-Replicas may have ended for a reason of their own, one after the other, and
-taken each request along that came. It is let in again then, with its ends
-kept: if it runs it is cleared, and if a replica ends it is refused for longer.
+The replicas may have crashed for another reason, one after the other, whatever
+they ran. So the request is then admitted again with its crashes kept: if it
+runs it is cleared, and if a replica crashes it is refused for longer.
 """
 
-REFUSED_GROWTH = 6.0
-"""By how much longer with each further end: an hour, six hours, a day."""
+REFUSAL_GROWTH = 6.0
+"""Factor on that time for each further crash: an hour, six hours, a day."""
 
-KEPT_SECONDS = 86_400.0
-"""How long ends of a request that was refused are kept, the longest refusal."""
+RETENTION_SECONDS = 86_400.0
+"""How long crashes of a refused request are kept; also the longest refusal."""
 
 
 def list_causes(
-    many: Iterable[str],
-    book: Mapping[str, Known],
+    candidates: Iterable[str],
+    states: Mapping[str, CrashState],
     now: float,
 ) -> Iterator[tuple[str, Case]]:
-    """List the requests that explain the ends, those of most ends first.
+    """List the requests to refuse, those with the most crashes first.
 
-    What one of them explains speaks against no other. Requests that were
-    resent together with it lost the same replicas, and where replicas end
-    for a reason of their own all that come lose them.
+    A crash that one of them explains counts against no other request.
+    Requests that were resent together with the cause met the same crashes;
+    and where replicas crash for another reason, every request meets them.
 
-    :param many: requests under which enough replicas ended for a refusal, and
+    :param candidates: digests of requests with enough crashes for a refusal
         that have not run since.
-    :param book: all requests under which replicas ended.
+    :param states: all requests under which replicas crashed, by digest.
     """
-    ranked = sorted(((digest, book[digest]) for digest in many), key=_rank)
-    begun = _list_begun(book.values()) if ranked else frozenset()
+    ranked = sorted(
+        ((digest, states[digest]) for digest in candidates), key=_rank
+    )
+    begun = _list_begun(states.values()) if ranked else frozenset()
     explained: set[str] = set()
     for digest, known in ranked:
         if _is_cause(known, now, frozenset(explained), begun):
             explained |= known.case.lives
-            if now - known.changed < _find_term(known.case):
+            if now - known.changed < _find_refusal_seconds(known.case):
                 yield digest, known.case
 
 
-def _rank(entry: tuple[str, Known]) -> tuple[int, int, str]:
+def _rank(entry: tuple[str, CrashState]) -> tuple[int, int, str]:
     digest, case = entry[0], entry[1].case
     return -len(case.begun), -len(case.waiting), digest
 
 
 def _is_cause(
-    known: Known,
+    known: CrashState,
     now: float,
     explained: frozenset[str],
     begun_anywhere: frozenset[str],
 ) -> bool:
-    """Whether enough replicas have ended for which nothing else speaks.
+    """Whether enough crashes remain that no other request explains.
 
-    Those that waited at a replica are cleared of its end by a request that
-    had begun there. Its node may not have told of it yet.
+    A request that waited at a replica is cleared of its crash by a request
+    that had begun to run there. The node that sent the latter may not have
+    reported it yet, so waiting requests are considered only after a delay.
     """
     begun = known.case.begun - explained
     if len(begun) >= MOST_ENDS:
@@ -84,12 +88,12 @@
     return len(begun | unexplained) >= MOST_ENDS
 
 
-def _list_begun(book: Iterable[Known]) -> frozenset[str]:
-    cases = (known.case.begun for known in book)
+def _list_begun(states: Iterable[CrashState]) -> frozenset[str]:
+    cases = (known.case.begun for known in states)
     return frozenset(itertools.chain.from_iterable(cases))
 
 
-def _find_term(case: Case) -> float:
-    """Find for how many seconds a request is refused after its last end."""
+def _find_refusal_seconds(case: Case) -> float:
+    """Find for how many seconds a request is refused after its last crash."""
     more = len(case.lives) - MOST_ENDS
-    return min(KEPT_SECONDS, REFUSED_SECONDS * REFUSED_GROWTH**more)
+    return min(RETENTION_SECONDS, FIRST_REFUSAL_SECONDS * REFUSAL_GROWTH**more)
--- /dev/null
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_crashes.py
@@ -0,0 +1,75 @@
+"""Replica crashes under one request."""
+
+import enum
+from dataclasses import dataclass
+
+MAX_INCARNATIONS = 16
+"""Incarnations kept for one request in each phase; three suffice to refuse."""
+
+
+class Manner(enum.Enum):
+    """Phase of a request at a replica at the moment the replica crashed."""
+
+    BEGUN = 'begun'
+    """It had just begun to run."""
+
+    WAITING = 'waiting'
+    """No part of its answer had arrived; it may still have been queued."""
+
+
+@dataclass(frozen=True, slots=True)
+class Case:
+    """Replicas that crashed under one request, by names of incarnations.
+
+    Names of registry entries or addresses would not do: a replica that crashes
+    twice counts twice, and a crash that two nodes have seen counts once.
+
+    :param begun: replicas at which the request had just begun to run.
+    :param waiting: replicas from which no part of its answer had arrived.
+    """
+
+    begun: frozenset[str] = frozenset()
+    waiting: frozenset[str] = frozenset()
+
+    @property
+    def lives(self) -> frozenset[str]:
+        """Incarnations of both phases."""
+        return self.begun | self.waiting
+
+    def add(self, incarnation: str, phase: Manner) -> 'Case':
+        """Add a crash; one known as begun no longer counts as waiting."""
+        if phase is Manner.BEGUN:
+            return self.merge(Case(begun=frozenset((incarnation,))))
+        return self.merge(Case(waiting=frozenset((incarnation,))))
+
+    def merge(self, other: 'Case') -> 'Case':
+        """Combine the crashes that two nodes have seen."""
+        begun = self.begun | other.begun
+        waiting = (self.waiting | other.waiting) - begun
+        return Case(_truncate(begun), _truncate(waiting))
+
+    def covers(self, other: 'Case') -> bool:
+        """Whether all crashes of another are known here."""
+        return self.merge(other) == self
+
+
+NO_CASE = Case()
+
+
+@dataclass(frozen=True, slots=True)
+class StoredCase:
+    """Crashes under one request, as the store holds them.
+
+    :param revision: revision of the object. Of several writes that require
+        this revision only one succeeds.
+    """
+
+    digest: str
+    case: Case
+    revision: int
+
+
+def _truncate(names: frozenset[str]) -> frozenset[str]:
+    if len(names) <= MAX_INCARNATIONS:
+        return names
+    return frozenset(sorted(names)[:MAX_INCARNATIONS])
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_digest.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_digest.py
@@ -1,9 +1,9 @@
-"""Tells whether two requests ask for the same."""
+"""Digests of requests, equal for requests with the same content."""
 
 import hashlib
 
 _DIGEST_BYTES = 8
-"""Sixty-four bits: that two of a million requests share one has odds of about
+"""Among a million requests, two share a digest of 64 bits with odds of about
 one in thirty million."""
 
 
@@ -14,10 +14,10 @@
     account: str,
     body: bytes,
 ) -> str:
-    """Shorten what a request asks for, and who asks.
+    """Compute the digest of a request's content and client account.
 
-    Each attempt of a client has an identity of its own, so only the content
-    tells that a request comes again.
+    Each attempt of a client has an identity of its own, so a repeated request
+    can be recognized by its content only.
 
     :param target: path and query.
     :param account: name of the client account; empty if anonymous.
--- a/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
+++ b/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
@@ -1,7 +1,7 @@
 """A budget of retries, as a share of the requests."""
 
-SHARE = 0.1
-RESERVE = 10.0
+DEFAULT_RATIO = 0.1
+DEFAULT_RESERVE = 10.0
 
 
 class RetryBudget:
@@ -11,29 +11,29 @@
     times triples the load on the other half; the outage then feeds itself
     and outlives its cause. With a budget the load grows by a tenth.
 
-    :param share: retries earned by each request.
+    :param ratio: retries earned by each request.
     :param reserve: the most that can be saved up.
     :param rate: retries that come free in a second besides.
     """
 
     def __init__(
         self,
-        share: float = SHARE,
-        reserve: float = RESERVE,
+        ratio: float = DEFAULT_RATIO,
+        reserve: float = DEFAULT_RESERVE,
         rate: float = 0,
     ) -> None:
-        self._share = share
+        self._ratio = ratio
         self._reserve = reserve
         self._rate = rate
         self._left = reserve
 
-    def resize(self, share: float, reserve: float, rate: float) -> None:
+    def resize(self, ratio: float, reserve: float, rate: float) -> None:
         """Change what is earned and saved up; what is beyond it is lost.
 
         What is left does not grow: a budget that was opened for few nodes
         and turns out to be shared by many has spent too much already.
         """
-        self._share = share
+        self._ratio = ratio
         self._reserve = reserve
         self._rate = rate
         self._left = min(self._left, reserve)
@@ -45,7 +45,7 @@
 
     def earn(self) -> None:
         """Note a first try."""
-        self._left = min(self._reserve, self._left + self._share)
+        self._left = min(self._reserve, self._left + self._ratio)
 
     def refill(self, seconds: float) -> None:
         """Add what came free in a time."""
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-REVOKE_MARGIN = 1.3
+REVOCATION_MARGIN_SECONDS = 1.3
 """Seconds kept back from the bound on revoked keys.
 
 A watch can hear nothing for a second while changes are made, before it is
@@ -35,7 +35,7 @@
     @property
     def oldest(self) -> float:
         """Age at which keys are no longer accepted."""
-        return self.bound - REVOKE_MARGIN
+        return self.bound - REVOCATION_MARGIN_SECONDS
 
     def age(self, now: float) -> float:
         """Seconds for which the configuration is unconfirmed."""
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_table.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_table.py
@@ -56,12 +56,12 @@
     return RoutingTable(configuration, routes, accounts)
 
 
-def choose_service(route: Route, draw: float) -> str:
+def choose_service(route: Route, sample: float) -> str:
     """Choose a service of a route by the weights of its splits.
 
-    :param draw: evenly distributed from 0 to 1.
+    :param sample: evenly distributed from 0 to 1.
     """
-    left = draw * sum(split.weight for split in route.splits)
+    left = sample * sum(split.weight for split in route.splits)
     for split in route.splits:
         left -= split.weight
         if left < 0:
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
@@ -27,15 +27,15 @@
     """
     granted: dict[str, float] = {}
     left = slots
-    open_weight = sum(demand.weight for demand in demands.values())
+    remaining_weight = sum(demand.weight for demand in demands.values())
     by_need = sorted(
         demands.items(), key=lambda entry: entry[1].total / entry[1].weight
     )
     for account, demand in by_need:
-        fair = left * demand.weight / open_weight
+        fair = left * demand.weight / remaining_weight
         granted[account] = min(demand.total, fair)
         left -= granted[account]
-        open_weight -= demand.weight
+        remaining_weight -= demand.weight
     return granted
 
 
@@ -44,7 +44,7 @@
     demands: Mapping[str, Demand],
     node: str,
     nodes: int,
-    heard: int | None = None,
+    reporting: int | None = None,
 ) -> dict[str, int]:
     """Work out how many requests each account may run at one node.
 
@@ -56,14 +56,14 @@
     cut between nodes. So only the slices of the nodes heard are shared.
 
     :param nodes: nodes that share the slots.
-    :param heard: nodes whose demand is known, this one included.
+    :param reporting: nodes whose demand is known, this one included.
     """
-    known = nodes if heard is None else min(heard, nodes)
+    known = nodes if reporting is None else min(reporting, nodes)
     granted = allocate_slots(slots * known / nodes, demands)
     weights = sum(demand.weight for demand in demands.values())
     return {
         account: max(
-            _floor(slots / nodes, demand.weight / weights),
+            _minimum_slots(slots / nodes, demand.weight / weights),
             round(
                 granted[account]
                 * demand.by_node.get(node, 0)
@@ -74,5 +74,5 @@
     }
 
 
-def _floor(slice_slots: float, share: float) -> int:
-    return max(1, int(slice_slots * share))
+def _minimum_slots(node_slots: float, share: float) -> int:
+    return max(1, int(node_slots * share))
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-RESERVED = 2
+RESERVED_SLOTS = 2
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass
-class _Lane:
+class _AccountState:
     """One client account's waiting and running requests."""
 
     waiting: deque[Ticket] = field(default_factory=deque)
@@ -66,34 +66,34 @@
         self.slots = slots
         self.caps: dict[str, int] = {}
         self.running = 0
-        self._now = 0.0
-        self._lanes: dict[str, _Lane] = {}
+        self._virtual_time = 0.0
+        self._accounts: dict[str, _AccountState] = {}
 
     @property
     def waiting(self) -> int:
         """How many requests wait."""
-        return sum(len(lane.waiting) for lane in self._lanes.values())
+        return sum(len(state.waiting) for state in self._accounts.values())
 
     def count_demand(self) -> dict[str, int]:
         """Count requests running or waiting for each busy account."""
         return {
-            account: lane.running + len(lane.waiting)
-            for account, lane in self._lanes.items()
-            if lane.running or lane.waiting
+            account: state.running + len(state.waiting)
+            for account, state in self._accounts.items()
+            if state.running or state.waiting
         }
 
     def offer(self, ticket: Ticket, limits: Limits) -> Result[None, Shed]:
         """Let a request wait, or shed it at once."""
-        lane = self._lanes.setdefault(ticket.account, _Lane())
-        lane.limits = limits
-        lane.weight = ticket.weight
-        if len(lane.waiting) >= limits.queue:
+        state = self._accounts.setdefault(ticket.account, _AccountState())
+        state.limits = limits
+        state.weight = ticket.weight
+        if len(state.waiting) >= limits.queue:
             # A queue without a bound turns a surge into answers that all
             # come too late; it shows as rising latency with no errors.
-            return Err(Shed('queue-full', _guess_wait(lane)))
-        if not (lane.waiting or lane.running):
-            lane.finish = max(lane.finish, self._now)
-        lane.waiting.append(ticket)
+            return Err(Shed('queue-full', _estimate_wait(state)))
+        if not (state.waiting or state.running):
+            state.finish = max(state.finish, self._virtual_time)
+        state.waiting.append(ticket)
         return Ok(None)
 
     def take(self, now: float) -> Ticket | None:
@@ -103,18 +103,20 @@
             come out of :meth:`expire`.
         """
         ready = [
-            (lane.finish, account)
-            for account, lane in self._lanes.items()
-            if lane.waiting and self._has_room(account, lane)
+            (state.finish, account)
+            for account, state in self._accounts.items()
+            if state.waiting and self._may_start(account, state)
         ]
         if not ready:
             return None
         start, account = min(ready)
-        lane = self._lanes[account]
-        ticket = lane.waiting.popleft()
-        self._now = max(self._now, start)
-        lane.finish = max(start, self._now) + ticket.work / ticket.weight
-        lane.running += 1
+        state = self._accounts[account]
+        ticket = state.waiting.popleft()
+        self._virtual_time = max(self._virtual_time, start)
+        state.finish = (
+            max(start, self._virtual_time) + ticket.work / ticket.weight
+        )
+        state.running += 1
         self.running += 1
         return ticket
 
@@ -122,8 +124,8 @@
         """Take out the requests that have waited too long."""
         expired = [
             ticket
-            for lane in self._lanes.values()
-            for ticket in lane.waiting
+            for state in self._accounts.values()
+            for ticket in state.waiting
             if ticket.expires <= now
         ]
         for ticket in expired:
@@ -132,35 +134,38 @@
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Take out a waiting request; tell whether it still waited."""
-        lane = self._lanes[ticket.account]
-        if ticket not in lane.waiting:
+        state = self._accounts[ticket.account]
+        if ticket not in state.waiting:
             return False
-        lane.waiting.remove(ticket)
+        state.waiting.remove(ticket)
         self._forget_idle(ticket.account)
         return True
 
     def finish(self, ticket: Ticket, work: float) -> None:
         """End a running request and charge what it really cost."""
-        lane = self._lanes[ticket.account]
-        lane.running -= 1
+        state = self._accounts[ticket.account]
+        state.running -= 1
         self.running -= 1
-        lane.finish += (work - ticket.work) / ticket.weight
+        state.finish += (work - ticket.work) / ticket.weight
         self._forget_idle(ticket.account)
 
-    def _has_room(self, account: str, lane: _Lane) -> bool:
-        cap = min(lane.limits.concurrent, self.caps.get(account, self.slots))
-        if lane.running >= cap:
+    def _may_start(self, account: str, state: _AccountState) -> bool:
+        cap = min(state.limits.concurrent, self.caps.get(account, self.slots))
+        if state.running >= cap:
             return False
         # With every slot taken by a surge, an account that was idle would
         # wait for the end of some long answer. Its floor lets it start at
         # once; the engines then run a few streams more than their slots.
-        return self.running < self.slots or lane.running < RESERVED
+        return self.running < self.slots or state.running < RESERVED_SLOTS
 
     def _forget_idle(self, account: str) -> None:
-        lane = self._lanes[account]
-        if not (lane.waiting or lane.running) and lane.finish <= self._now:
-            del self._lanes[account]
+        state = self._accounts[account]
+        if (
+            not (state.waiting or state.running)
+            and state.finish <= self._virtual_time
+        ):
+            del self._accounts[account]
 
 
-def _guess_wait(lane: _Lane) -> float:
-    return max(1, len(lane.waiting) / max(1, lane.running))
+def _estimate_wait(state: _AccountState) -> float:
+    return max(1, len(state.waiting) / max(1, state.running))
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_bucket.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_bucket.py
@@ -10,16 +10,16 @@
 most, both keep within that at any limit.
 """
 
-GRANTED_SHARE = 0.75
+GRANTED_FRACTION = 0.75
 """Share of a limit that one node grants."""
 
-MOST_SAVED = 2.0
+MAX_CAPACITY = 2.0
 """Most permits that are saved up, in requests."""
 
-LEAST_SAVED = 1.0
+MIN_CAPACITY = 1.0
 """The same at the smallest limits; less would never make a whole request."""
 
-LEAST_PACE = 0.25
+MIN_RATE = 0.25
 """Permits a second that are granted at least.
 
 Without an answer now and then nobody would learn that a limit is over.
@@ -40,42 +40,42 @@
 
     def __init__(self, limit: float, now: float) -> None:
         self._limit = limit
-        self._saved = LEAST_SAVED
-        self._filled = now
+        self._tokens = MIN_CAPACITY
+        self._refilled_at = now
 
     def resize(self, limit: float, now: float) -> None:
         """Change the limit from now on."""
-        self._fill(now)
+        self._refill(now)
         self._limit = limit
-        self._saved = min(self._saved, self._most)
+        self._tokens = min(self._tokens, self._capacity)
 
     def take(self, now: float) -> bool:
         """Take a permit, if there is one."""
-        self._fill(now)
-        if self._saved < 1:
+        self._refill(now)
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
     def is_idle(self, now: float) -> bool:
         """Whether nobody has asked for so long that it may be forgotten."""
-        return now - self._filled > IDLE_SECONDS
+        return now - self._refilled_at > IDLE_SECONDS
 
     def find_wait(self, now: float) -> float:
         """Tell in how many seconds there will be a permit."""
-        self._fill(now)
-        return max(0, 1 - self._saved) / self._pace
+        self._refill(now)
+        return max(0, 1 - self._tokens) / self._rate
 
     @property
-    def _pace(self) -> float:
-        return max(LEAST_PACE, GRANTED_SHARE * self._limit)
+    def _rate(self) -> float:
+        return max(MIN_RATE, GRANTED_FRACTION * self._limit)
 
     @property
-    def _most(self) -> float:
-        return min(MOST_SAVED, max(LEAST_SAVED, self._limit))
-
-    def _fill(self, now: float) -> None:
-        now = max(now, self._filled)
-        passed = now - self._filled
-        self._saved = min(self._most, self._saved + passed * self._pace)
-        self._filled = now
+    def _capacity(self) -> float:
+        return min(MAX_CAPACITY, max(MIN_CAPACITY, self._limit))
+
+    def _refill(self, now: float) -> None:
+        now = max(now, self._refilled_at)
+        elapsed = now - self._refilled_at
+        self._tokens = min(self._capacity, self._tokens + elapsed * self._rate)
+        self._refilled_at = now
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
@@ -4,7 +4,7 @@
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-KEPT_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long the word of a replica that is gone is kept."""
 
 
@@ -25,38 +25,38 @@
 class LimitBook:
     """The newest word of each replica, by the name of its life."""
 
-    _heard: dict[str, Heard] = field(default_factory=dict)
+    _reported: dict[str, Heard] = field(default_factory=dict)
 
-    def hear(self, name: str, heard: Heard) -> bool:
+    def hear(self, name: str, reported: Heard) -> bool:
         """Take what a replica said, unless a newer word is known.
 
         :returns: whether it has a limit now and had none, or the reverse.
         """
-        known = self._heard.get(name)
-        if known is not None and known.at > heard.at:
+        known = self._reported.get(name)
+        if known is not None and known.at > reported.at:
             return False
-        if heard.limit is not None and not _is_usable(heard.limit):
+        if reported.limit is not None and not _is_usable(reported.limit):
             return False
-        if known is None and heard.limit is None:
+        if known is None and reported.limit is None:
             return False
-        self._heard[name] = heard
+        self._reported[name] = reported
         before = None if known is None else known.limit
-        return (before is None) != (heard.limit is None)
+        return (before is None) != (reported.limit is None)
 
     def find(self, name: str) -> Heard | None:
         """Find the newest word of one that has, or had, a limit."""
-        return self._heard.get(name)
+        return self._reported.get(name)
 
     def find_limit(self, name: str) -> float | None:
         """Find the limit of a replica; nothing if it has none."""
-        known = self._heard.get(name)
+        known = self._reported.get(name)
         return None if known is None else known.limit
 
     def list_limited(self) -> frozenset[str]:
         """Name the replicas that have a limit."""
         return frozenset(
             name
-            for name, known in self._heard.items()
+            for name, known in self._reported.items()
             if known.limit is not None
         )
 
@@ -66,10 +66,10 @@
         An entry that lapses in an outage comes back with the same life, which
         is in need as before.
         """
-        self._heard = {
+        self._reported = {
             name: known
-            for name, known in self._heard.items()
-            if name in names or now - known.at < KEPT_SECONDS
+            for name, known in self._reported.items()
+            if name in names or now - known.at < RETENTION_SECONDS
         }
 
 
--- a/tests/core/quarantine/test_book.py
+++ b/tests/core/quarantine/test_book.py
@@ -1,4 +1,4 @@
-"""Which requests are refused as replicas end under them."""
+"""Requests that crash replicas are recognized and refused."""
 
 import itertools
 
@@ -6,16 +6,16 @@
 
 from ryelatch_core.quarantine import Book, Case, Manner, Step, StoredCase
 from ryelatch_core.quarantine._book import (
+    CLEANUP_DELAY_SECONDS,
     CLEARED_SECONDS,
-    LEFT_SECONDS,
-    MOST_CASES,
-    REWRITE_SECONDS,
+    MAX_TRACKED_REQUESTS,
+    REPORT_DELAY_SECONDS,
+    REWRITE_SPREAD_SECONDS,
     SUSPECT_SECONDS,
-    TELL_SECONDS,
 )
 from ryelatch_core.quarantine._causes import (
-    KEPT_SECONDS,
-    REFUSED_SECONDS,
+    FIRST_REFUSAL_SECONDS,
+    RETENTION_SECONDS,
     SETTLE_SECONDS,
 )
 
@@ -23,283 +23,283 @@
 _LATER = _NOW + SETTLE_SECONDS
 
 
-def _make(patience: float = 0.5) -> Book:
-    return Book(patience)
+def _make(jitter: float = 0.5) -> Book:
+    return Book(jitter)
 
 
-def _end(book: Book, digest: str, *lives: str, now: float = _NOW) -> None:
-    for life in lives:
-        book.note_end(digest, life, Manner.BEGUN, now)
+def _crash(tracker: Book, digest: str, *names: str, now: float = _NOW) -> None:
+    for name in names:
+        tracker.note_end(digest, name, Manner.BEGUN, now)
 
 
-def _wait_and_end(book: Book, digest: str, *lives: str) -> None:
-    for life in lives:
-        book.note_end(digest, life, Manner.WAITING, _NOW)
+def _crash_waiting(tracker: Book, digest: str, *names: str) -> None:
+    for name in names:
+        tracker.note_end(digest, name, Manner.WAITING, _NOW)
 
 
 def _store(digest: str, *begun: str, revision: int = 5) -> StoredCase:
     return StoredCase(digest, Case(frozenset(begun)), revision)
 
 
-def _refuses(book: Book, digest: str, now: float = _NOW) -> bool:
-    book.judge(now)
-    return book.find_refused(digest) is not None
+def _refuses(tracker: Book, digest: str, now: float = _NOW) -> bool:
+    tracker.judge(now)
+    return tracker.find_refused(digest) is not None
 
 
 def test_third_end_under_a_request_refuses_it() -> None:
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2')
-    assert not _refuses(book, 'a')
-    _end(book, 'a', 'r-3')
-    assert _refuses(book, 'a')
-    found = book.find_refused('a')
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    assert not _refuses(tracker, 'a')
+    _crash(tracker, 'a', 'r-3')
+    assert _refuses(tracker, 'a')
+    found = tracker.find_refused('a')
     assert found is not None
     assert found.lives == {'r-1', 'r-2', 'r-3'}
-    assert not _refuses(book, 'b')
+    assert not _refuses(tracker, 'b')
 
 
 def test_one_end_counts_once() -> None:
-    """Two copies of a request are lost with the same replica.
+    """Two copies of a request are lost when one replica crashes.
 
-    Counted as two ends, two losses would refuse a request that many ask for.
+    Counted as two crashes, two losses would refuse a frequent request.
     """
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-1', 'r-2')
-    book.put(_store('a', 'r-1', 'r-2'), _NOW)
-    assert not _refuses(book, 'a', _LATER)
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-1', 'r-2')
+    tracker.put(_store('a', 'r-1', 'r-2'), _NOW)
+    assert not _refuses(tracker, 'a', _LATER)
 
 
 def test_ends_that_nodes_saw_are_added_up() -> None:
-    """Each attempt of a client comes to another node, which sees one end."""
-    book = _make()
-    _end(book, 'a', 'r-1')
-    book.put(_store('a', 'r-2', 'r-3'), _NOW)
-    assert _refuses(book, 'a')
+    """Each attempt of a client reaches another node, which sees one crash."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1')
+    tracker.put(_store('a', 'r-2', 'r-3'), _NOW)
+    assert _refuses(tracker, 'a')
 
 
 def test_lives_of_one_entry_count_each() -> None:
-    """A replica is back under its entry after seconds, and ends again."""
-    book = _make()
-    _end(book, 'a', 'r-1+100', 'r-1+200', 'r-1+300')
-    assert _refuses(book, 'a')
+    """A replica restarts within seconds under its entry and crashes again."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1+100', 'r-1+200', 'r-1+300')
+    assert _refuses(tracker, 'a')
 
 
 def test_cause_clears_those_that_waited() -> None:
-    """Twenty requests wait at a replica when another one ends it.
+    """Twenty requests wait at a replica when another request crashes it.
 
-    They are resent to the replica that is best for all, as is the one that
-    ends it, three times in a second. None of the others is to blame.
+    All of them are resent to the same replica as the request that crashes it,
+    three times within a second. None of the twenty is the cause.
     """
-    book = _make()
-    _wait_and_end(book, 'waiting', 'r-1', 'r-2', 'r-3')
-    assert not _refuses(book, 'waiting')
-    # Its node tells of it within the time that is left for that.
-    book.put(_store('cause', 'r-1', 'r-2', 'r-3'), _NOW)
-    assert not _refuses(book, 'waiting', _LATER)
-    assert _refuses(book, 'cause')
+    tracker = _make()
+    _crash_waiting(tracker, 'waiting', 'r-1', 'r-2', 'r-3')
+    assert not _refuses(tracker, 'waiting')
+    # The cause's node reports it before waiting requests are considered.
+    tracker.put(_store('cause', 'r-1', 'r-2', 'r-3'), _NOW)
+    assert not _refuses(tracker, 'waiting', _LATER)
+    assert _refuses(tracker, 'cause')
 
 
 def test_waiting_tells_less_than_beginning() -> None:
-    """Each replica was lost as another request had just begun there.
+    """At each crash another request had just begun to run.
 
-    None of those has ended three, but each speaks for itself more than one
-    that still waited at all of them.
+    None of these has met three crashes, but each explains one crash better
+    than a request that was still waiting at all of them.
     """
-    book = _make()
-    _wait_and_end(book, 'waiting', 'r-1', 'r-2', 'r-3')
-    _end(book, 'b', 'r-1')
-    _end(book, 'c', 'r-2')
-    assert not _refuses(book, 'waiting', _LATER)
-    _end(book, 'a', 'r-4')
-    _wait_and_end(book, 'waiting', 'r-5', 'r-6')
-    assert _refuses(book, 'waiting', _LATER)
+    tracker = _make()
+    _crash_waiting(tracker, 'waiting', 'r-1', 'r-2', 'r-3')
+    _crash(tracker, 'b', 'r-1')
+    _crash(tracker, 'c', 'r-2')
+    assert not _refuses(tracker, 'waiting', _LATER)
+    _crash(tracker, 'a', 'r-4')
+    _crash_waiting(tracker, 'waiting', 'r-5', 'r-6')
+    assert _refuses(tracker, 'waiting', _LATER)
 
 
 def test_unread_request_may_be_the_cause() -> None:
-    """A prompt ends the replicas that read it, before their answers begin."""
-    book = _make()
-    _wait_and_end(book, 'a', 'r-1', 'r-2', 'r-3')
-    assert not _refuses(book, 'a')
-    assert _refuses(book, 'a', _LATER)
+    """A prompt crashes the replicas that read it, before an answer begins."""
+    tracker = _make()
+    _crash_waiting(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    assert not _refuses(tracker, 'a')
+    assert _refuses(tracker, 'a', _LATER)
 
 
 def test_request_that_ran_elsewhere_is_cleared() -> None:
-    """A request loses its replica twice, by chance, and is then answered.
+    """A request meets two crashes by chance and is then answered.
 
-    Long streams on VMs that are taken back lose many replicas over the day.
+    Long streams on preemptible VMs lose many replicas during a day.
     """
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2')
-    assert book.is_suspect('a', _NOW)
-    book.note_run('a', _NOW)
-    _end(book, 'a', 'r-3', 'r-4', 'r-5', now=_NOW + CLEARED_SECONDS - 1)
-    assert not _refuses(book, 'a', _NOW + CLEARED_SECONDS - 1)
-    assert not book.is_suspect('a', _NOW)
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    assert tracker.is_suspect('a', _NOW)
+    tracker.note_run('a', _NOW)
+    _crash(tracker, 'a', 'r-3', 'r-4', 'r-5', now=_NOW + CLEARED_SECONDS - 1)
+    assert not _refuses(tracker, 'a', _NOW + CLEARED_SECONDS - 1)
+    assert not tracker.is_suspect('a', _NOW)
 
 
 def test_run_of_long_ago_clears_nothing() -> None:
-    """New software of the replicas ends under what the old one answered."""
-    book = _make()
-    book.note_run('a', _NOW)
+    """An update makes replicas crash under a request that ran before."""
+    tracker = _make()
+    tracker.note_run('a', _NOW)
     later = _NOW + CLEARED_SECONDS
-    _end(book, 'a', 'r-1', 'r-2', 'r-3', now=later)
-    assert _refuses(book, 'a', later)
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3', now=later)
+    assert _refuses(tracker, 'a', later)
 
 
 def test_run_takes_back_what_others_told() -> None:
-    book = _make()
-    book.put(_store('a', 'r-1', 'r-2', revision=7), _NOW)
-    book.note_run('a', _NOW)
-    assert book.list_due(_NOW) == [Step('a', None, 7)]
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', 'r-2', revision=7), _NOW)
+    tracker.note_run('a', _NOW)
+    assert tracker.list_due(_NOW) == [Step('a', None, 7)]
 
 
 def test_first_end_is_told_after_a_while() -> None:
-    """Most that lose a replica run on elsewhere at once, and cost no call."""
-    book = _make(patience=0.5)
-    _end(book, 'a', 'r-1')
-    assert not book.list_due(_NOW + TELL_SECONDS / 2)
-    told = Step('a', Case(frozenset(('r-1',))), 0)
-    assert book.list_due(_NOW + TELL_SECONDS) == [told]
-    book.note_run('a', _NOW)
-    assert not book.list_due(_NOW + TELL_SECONDS)
+    """Most requests run on another replica at once and cost no store call."""
+    tracker = _make(jitter=0.5)
+    _crash(tracker, 'a', 'r-1')
+    assert not tracker.list_due(_NOW + REPORT_DELAY_SECONDS / 2)
+    write = Step('a', Case(frozenset(('r-1',))), 0)
+    assert tracker.list_due(_NOW + REPORT_DELAY_SECONDS) == [write]
+    tracker.note_run('a', _NOW)
+    assert not tracker.list_due(_NOW + REPORT_DELAY_SECONDS)
 
 
 def test_second_end_is_told_at_once() -> None:
-    """The next attempt comes to another node, a second later."""
-    book = _make()
-    book.put(_store('a', 'r-1', revision=7), _NOW)
-    _end(book, 'a', 'r-2')
-    told = Step('a', Case(frozenset(('r-1', 'r-2'))), 7)
-    assert book.list_due(_NOW) == [told]
-    book.put(_store('a', 'r-1', 'r-2', revision=8), _NOW)
-    assert not book.list_due(_NOW)
+    """The next attempt reaches another node, a second later."""
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', revision=7), _NOW)
+    _crash(tracker, 'a', 'r-2')
+    write = Step('a', Case(frozenset(('r-1', 'r-2'))), 7)
+    assert tracker.list_due(_NOW) == [write]
+    tracker.put(_store('a', 'r-1', 'r-2', revision=8), _NOW)
+    assert not tracker.list_due(_NOW)
 
 
 def test_deleted_object_lets_a_request_in() -> None:
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2')
-    book.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
-    assert _refuses(book, 'a')
-    book.remove('a', _NOW)
-    assert not _refuses(book, 'a')
-    assert not book.list_due(_NOW + KEPT_SECONDS)
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
+    assert _refuses(tracker, 'a')
+    tracker.remove('a', _NOW)
+    assert not _refuses(tracker, 'a')
+    assert not tracker.list_due(_NOW + RETENTION_SECONDS)
 
 
 def test_what_the_store_lost_is_written_again() -> None:
-    """The store comes back from an older copy, without the last objects.
+    """The store is restored from an older copy, without the last objects.
 
-    A request that is refused would end three more replicas until it is known
-    again. What only was suspected is nothing to write again.
+    A refused request would crash three more replicas before it is refused
+    again. Objects of requests that were only suspected are not rewritten.
     """
-    book = _make(patience=1)
-    book.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
-    book.put(_store('b', 'r-1'), _NOW)
-    book.replace((), _NOW)
-    assert _refuses(book, 'a')
-    assert not book.list_due(_NOW)
+    tracker = _make(jitter=1)
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
+    tracker.put(_store('b', 'r-1'), _NOW)
+    tracker.replace((), _NOW)
+    assert _refuses(tracker, 'a')
+    assert not tracker.list_due(_NOW)
     lost = Step('a', Case(frozenset(('r-1', 'r-2', 'r-3'))), 0)
-    assert book.list_due(_NOW + REWRITE_SECONDS) == [lost]
-    book.put(_store('a', 'r-1', 'r-2', 'r-3', revision=2), _NOW)
-    assert not book.list_due(_NOW + REWRITE_SECONDS)
+    assert tracker.list_due(_NOW + REWRITE_SPREAD_SECONDS) == [lost]
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=2), _NOW)
+    assert not tracker.list_due(_NOW + REWRITE_SPREAD_SECONDS)
 
 
 def test_own_ends_survive_a_new_list() -> None:
-    book = _make()
-    _end(book, 'a', 'r-1')
-    book.put(_store('a', 'r-1'), _NOW)
-    book.replace((), _NOW)
-    _end(book, 'a', 'r-2', 'r-3')
-    assert _refuses(book, 'a')
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1')
+    tracker.put(_store('a', 'r-1'), _NOW)
+    tracker.replace((), _NOW)
+    _crash(tracker, 'a', 'r-2', 'r-3')
+    assert _refuses(tracker, 'a')
 
 
 def test_late_word_is_passed_over() -> None:
-    book = _make()
-    book.put(_store('a', 'r-1', 'r-2', 'r-3', revision=9), _NOW)
-    book.put(_store('a', 'r-1', revision=8), _NOW)
-    assert _refuses(book, 'a')
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=9), _NOW)
+    tracker.put(_store('a', 'r-1', revision=8), _NOW)
+    assert _refuses(tracker, 'a')
 
 
 @pytest.mark.parametrize(
-    ('lives', 'lasts'),
+    ('names', 'lifetime'),
     [
         (('r-1',), SUSPECT_SECONDS),
-        (('r-1', 'r-2', 'r-3'), KEPT_SECONDS),
+        (('r-1', 'r-2', 'r-3'), RETENTION_SECONDS),
     ],
 )
-def test_ends_lapse(lives: tuple[str, ...], lasts: float) -> None:
-    """Software is mended, and what ended it once may run again."""
-    book = _make()
-    _end(book, 'a', *lives)
-    book.put(_store('a', *lives, revision=7), _NOW)
-    assert not book.list_due(_NOW + lasts - 1)
-    assert book.list_due(_NOW + lasts + 1) == [Step('a', None, 7)]
+def test_ends_lapse(names: tuple[str, ...], lifetime: float) -> None:
+    """A request that crashed replicas may run after their software is fixed."""
+    tracker = _make()
+    _crash(tracker, 'a', *names)
+    tracker.put(_store('a', *names, revision=7), _NOW)
+    assert not tracker.list_due(_NOW + lifetime - 1)
+    assert tracker.list_due(_NOW + lifetime + 1) == [Step('a', None, 7)]
 
 
 def test_refused_request_is_tried_again_later() -> None:
-    """Replicas of a bad release end one after the other, whatever they run.
+    """Replicas of a bad release crash one after the other, whatever they run.
 
-    What came meanwhile lost three of them, and would be refused for good.
+    A request that met three of these crashes would be refused for good.
     """
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2', 'r-3')
-    later = _NOW + REFUSED_SECONDS
-    assert _refuses(book, 'a', later - 1)
-    assert not _refuses(book, 'a', later)
-    book.note_run('a', later)
-    _end(book, 'a', 'r-4', now=later + CLEARED_SECONDS)
-    assert not _refuses(book, 'a', later + CLEARED_SECONDS)
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    later = _NOW + FIRST_REFUSAL_SECONDS
+    assert _refuses(tracker, 'a', later - 1)
+    assert not _refuses(tracker, 'a', later)
+    tracker.note_run('a', later)
+    _crash(tracker, 'a', 'r-4', now=later + CLEARED_SECONDS)
+    assert not _refuses(tracker, 'a', later + CLEARED_SECONDS)
 
 
 def test_next_end_refuses_it_for_longer() -> None:
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2', 'r-3')
-    later = _NOW + REFUSED_SECONDS
-    _end(book, 'a', 'r-4', now=later)
-    assert _refuses(book, 'a', later + REFUSED_SECONDS)
-    assert not _refuses(book, 'a', later + 6 * REFUSED_SECONDS)
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    later = _NOW + FIRST_REFUSAL_SECONDS
+    _crash(tracker, 'a', 'r-4', now=later)
+    assert _refuses(tracker, 'a', later + FIRST_REFUSAL_SECONDS)
+    assert not _refuses(tracker, 'a', later + 6 * FIRST_REFUSAL_SECONDS)
 
 
 def test_one_of_many_explains_what_all_lost() -> None:
-    """A service goes down and takes all along that many ask for.
+    """All replicas of a service crash under several frequent requests.
 
-    All of them would be refused, by all nodes, when it is back.
+    All nodes would refuse all of these requests when the service is back.
     """
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2', 'r-3', 'r-4')
-    _end(book, 'b', 'r-2', 'r-3', 'r-4')
-    _end(book, 'c', 'r-1', 'r-2', 'r-4', 'r-5')
-    assert _refuses(book, 'a')
-    assert not _refuses(book, 'b')
-    assert not _refuses(book, 'c')
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3', 'r-4')
+    _crash(tracker, 'b', 'r-2', 'r-3', 'r-4')
+    _crash(tracker, 'c', 'r-1', 'r-2', 'r-4', 'r-5')
+    assert _refuses(tracker, 'a')
+    assert not _refuses(tracker, 'b')
+    assert not _refuses(tracker, 'c')
 
 
 def test_several_causes_are_refused_each() -> None:
-    """An account sends several requests that end replicas, each its own."""
-    book = _make()
-    _end(book, 'a', 'r-1', 'r-2', 'r-3')
-    _end(book, 'b', 'r-4', 'r-5', 'r-6', 'r-3')
-    _end(book, 'c', 'r-7', 'r-8', 'r-9')
-    assert set(book.refused) == {'b', 'c'}
-    _end(book, 'a', 'r-10')
-    assert set(book.refused) == {'a', 'b', 'c'}
+    """An account sends several requests that crash different replicas."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    _crash(tracker, 'b', 'r-4', 'r-5', 'r-6', 'r-3')
+    _crash(tracker, 'c', 'r-7', 'r-8', 'r-9')
+    assert set(tracker.refused) == {'b', 'c'}
+    _crash(tracker, 'a', 'r-10')
+    assert set(tracker.refused) == {'a', 'b', 'c'}
 
 
 def test_word_of_a_lost_node_is_deleted() -> None:
-    book = _make(patience=0.5)
-    book.put(_store('a', 'r-1', revision=7), _NOW)
-    assert not book.list_due(_NOW + SUSPECT_SECONDS + 1)
-    later = _NOW + SUSPECT_SECONDS + LEFT_SECONDS + 1
-    assert book.list_due(later) == [Step('a', None, 7)]
+    tracker = _make(jitter=0.5)
+    tracker.put(_store('a', 'r-1', revision=7), _NOW)
+    assert not tracker.list_due(_NOW + SUSPECT_SECONDS + 1)
+    later = _NOW + SUSPECT_SECONDS + CLEANUP_DELAY_SECONDS + 1
+    assert tracker.list_due(later) == [Step('a', None, 7)]
 
 
 def test_suspects_are_bounded_and_refusals_kept() -> None:
-    """An account sends a different request each time replicas end."""
-    book = _make()
-    _end(book, 'refused', 'r-1', 'r-2', 'r-3')
-    for number in range(MOST_CASES + 10):
-        _end(book, f'other-{number}', 'r-1')
-    assert len(book) == MOST_CASES
-    assert _refuses(book, 'refused')
+    """An account sends a different request before each crash."""
+    tracker = _make()
+    _crash(tracker, 'refused', 'r-1', 'r-2', 'r-3')
+    for number in range(MAX_TRACKED_REQUESTS + 10):
+        _crash(tracker, f'other-{number}', 'r-1')
+    assert len(tracker) == MAX_TRACKED_REQUESTS
+    assert _refuses(tracker, 'refused')
 
 
 def test_a_case_is_bounded() -> None:
--- a/tests/core/quarantine/test_digest.py
+++ b/tests/core/quarantine/test_digest.py
@@ -1,14 +1,14 @@
-"""Digests of requests."""
+"""Digests of requests by content."""
 
 import pytest
 
 from ryelatch_core.quarantine import digest_request
 
-_ASKED = ('city.example', 'POST', '/plan/x', 'ward-1', b'question')
+_REQUEST = ('city.example', 'POST', '/plan/x', 'ward-1', b'question')
 
 
 def test_same_request_has_the_same_digest() -> None:
-    assert digest_request(*_ASKED) == digest_request(*_ASKED)
+    assert digest_request(*_REQUEST) == digest_request(*_REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -25,4 +25,4 @@
 def test_other_requests_have_other_digests(
     other: tuple[str, str, str, str, bytes],
 ) -> None:
-    assert digest_request(*other) != digest_request(*_ASKED)
+    assert digest_request(*other) != digest_request(*_REQUEST)
--- a/tests/core/retries/test_budget.py
+++ b/tests/core/retries/test_budget.py
@@ -8,7 +8,7 @@
 
     Without a budget there would be two thousand retries more.
     """
-    budget = RetryBudget(share=0.1, reserve=10)
+    budget = RetryBudget(ratio=0.1, reserve=10)
     retries = 0
     for _ in range(1000):
         budget.earn()
@@ -19,7 +19,7 @@
 
 def test_waiting_refills_a_part() -> None:
     """Nothing is earned while all requests fail; some retries come free."""
-    budget = RetryBudget(share=0, reserve=4, rate=0.5)
+    budget = RetryBudget(ratio=0, reserve=4, rate=0.5)
     while budget.spend():
         """Use up what was saved."""
     budget.refill(2)
--- a/tests/core/shares/test_queue.py
+++ b/tests/core/shares/test_queue.py
@@ -123,8 +123,8 @@
     It may hand out its own eighth of the slots and no more.
     """
     demands = {'large': Demand(1, {'n1': 500})}
-    assert cap_accounts(80, demands, 'n1', 8, heard=1) == {'large': 10}
-    assert cap_accounts(80, demands, 'n1', 8, heard=8) == {'large': 80}
+    assert cap_accounts(80, demands, 'n1', 8, reporting=1) == {'large': 10}
+    assert cap_accounts(80, demands, 'n1', 8, reporting=8) == {'large': 80}
 
 
 def test_expired_and_withdrawn_tickets_leave() -> None:
--- a/tests/core/throttle/test_limits.py
+++ b/tests/core/throttle/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ryelatch_core.throttle import Heard, LimitBook
-from ryelatch_core.throttle._limits import KEPT_SECONDS
+from ryelatch_core.throttle._limits import RETENTION_SECONDS
 
 
 def test_newest_word_counts() -> None:
@@ -44,7 +44,7 @@
     book = LimitBook()
     book.hear('b-0+1', Heard(4, 10))
     assert book.find_limit('b-0+2') is None
-    book.keep({'b-0+2'}, 10 + KEPT_SECONDS)
+    book.keep({'b-0+2'}, 10 + RETENTION_SECONDS)
     assert book.list_limited() == frozenset()
 
 
@@ -52,12 +52,12 @@
     """A replica in need is lost from the list for a while in an outage."""
     book = LimitBook()
     book.hear('b-0', Heard(4, 10))
-    book.keep((), 10 + KEPT_SECONDS / 2)
+    book.keep((), 10 + RETENTION_SECONDS / 2)
     assert book.find_limit('b-0') == 4
 
 
 def test_limit_of_a_listed_replica_does_not_age() -> None:
     book = LimitBook()
     book.hear('b-0', Heard(4, 10))
-    book.keep({'b-0'}, 10 + 10 * KEPT_SECONDS)
+    book.keep({'b-0'}, 10 + 10 * RETENTION_SECONDS)
     assert book.find_limit('b-0') == 4
