--- a/packages/ryelatch-core/src/ryelatch_core/throttle/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/__init__.py
@@ -1,4 +1,4 @@
-"""What replicas say in their answers of how much they take, and from whom."""
+"""Rate limits and backoffs that replicas announce in their answers."""
 
 from ryelatch_core.throttle._backoffs import LONGEST_BACKOFF, BackoffBook
 from ryelatch_core.throttle._bucket import TokenBucket
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
@@ -1,36 +1,38 @@
-"""Replicas that want nothing from this node for a while, as they said."""
+"""Backoffs: replicas that have asked this node to send nothing for a while."""
 
 from dataclasses import dataclass, field
 
 LONGEST_BACKOFF = 600.0
-"""Seconds after which a replica is asked again, whatever it said.
+"""Seconds after which a backoff ends, whatever the replica asked for.
 
-One that names a year by mistake would else be lost until it starts anew.
+A replica that asks for a year by mistake would otherwise get no request until
+it restarts.
 """
 
 
 @dataclass(eq=False)
 class BackoffBook:
-    """Until when replicas want nothing, by the names of their lives.
+    """Ends of the backoffs of replicas, by names of their incarnations.
 
-    Only time ends a backoff, or the end of that life: neither a report nor an
-    answer to an earlier request says that the replica wants more.
+    Only time ends a backoff, or a restart of the replica, whose new
+    incarnation has none. A report, or an answer to an earlier request, does
+    not show that the replica accepts requests again.
     """
 
     _until: dict[str, float] = field(default_factory=dict)
 
     def begin(self, name: str, seconds: float, now: float) -> None:
-        """Begin a backoff; of several the latest end counts."""
+        """Begin a backoff; of several, the one that ends last counts."""
         until = now + min(seconds, LONGEST_BACKOFF)
         self._until[name] = max(until, self._until.get(name, until))
 
     def list_names(self, now: float) -> frozenset[str]:
-        """Name the replicas that want nothing now, and forget the others."""
+        """List the replicas in backoff, and drop those whose time is over."""
         self._until = {
             name: until for name, until in self._until.items() if until > now
         }
         return frozenset(self._until)
 
     def find_left(self, name: str, now: float) -> float:
-        """Tell for how many seconds a replica wants nothing."""
+        """Find the seconds left of a replica's backoff; 0 if it has none."""
         return max(0, self._until.get(name, now) - now)
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_bucket.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_bucket.py
@@ -1,40 +1,41 @@
-"""Permits for requests to a replica that takes a limited number of them.
+"""Token bucket of permits for requests to a replica with a rate limit.
 
-Answers the load in which a replica in need is still the cheapest for each of
-many nodes, as each sees only the requests that it sends itself. One node grants
-the permits of all, so the sum holds at any number of nodes.
+Each node sees only the requests that it sends itself, so to each of many nodes
+an overloaded replica can still seem the cheapest. One node therefore grants the
+permits for all nodes, and the limit holds for any number of them.
 
-Two nodes may grant at once for a while, as their lists of nodes differ. What
-both grant in some seconds has to stay below one and a half times the limit and
-five requests more; granting three quarters of it, and saving up two requests at
-most, both keep within that at any limit.
+Two nodes may grant permits of one replica for a while, when their lists of
+nodes differ. The sum that both grant over some seconds must stay below one and
+a half times the limit plus five requests. Each grants three quarters of the
+limit and saves up two permits at most, which ensures that at any limit.
 """
 
 GRANTED_FRACTION = 0.75
-"""Share of a limit that one node grants."""
+"""Fraction of a limit that one node grants."""
 
 MAX_CAPACITY = 2.0
-"""Most permits that are saved up, in requests."""
+"""Largest number of permits that a bucket saves up."""
 
 MIN_CAPACITY = 1.0
-"""The same at the smallest limits; less would never make a whole request."""
+"""The same at the smallest limits; with less no request would be granted."""
 
 MIN_RATE = 0.25
-"""Permits a second that are granted at least.
+"""Smallest rate of permits per second, whatever the limit.
 
-Without an answer now and then nobody would learn that a limit is over.
+Without an answer now and then, no node would learn that a limit is lifted.
 """
 
 IDLE_SECONDS = 10.0
-"""How long the permits of a replica are kept that nobody asks for."""
+"""How long a bucket is kept while no node requests a permit from it."""
 
 
 class TokenBucket:
-    """The permits of one replica, as one node grants them.
+    """Permits of one replica, granted by one node.
 
-    It begins with one: another node may have granted until a moment ago.
+    A new bucket holds one permit only, as another node may have granted some
+    until a moment ago.
 
-    :param limit: requests a second.
+    :param limit: requests per second.
     :param now: monotonic seconds.
     """
 
@@ -58,11 +59,11 @@
         return True
 
     def is_idle(self, now: float) -> bool:
-        """Whether nobody has asked for so long that it may be forgotten."""
+        """Whether the bucket has been unused for so long that it may go."""
         return now - self._refilled_at > IDLE_SECONDS
 
     def find_wait(self, now: float) -> float:
-        """Tell in how many seconds there will be a permit."""
+        """Find the seconds until there is a permit; 0 if there is one."""
         self._refill(now)
         return max(0, 1 - self._tokens) / self._rate
 
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limiters.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limiters.py
@@ -11,10 +11,11 @@
 def rank_limiters(replica: str, nodes: Iterable[NodeEntry]) -> list[NodeEntry]:
     """Rank the nodes that may grant the permits of a replica, best first.
 
-    Each replica has an order of its own, the same at all nodes with the same
-    list; one that comes or goes changes the first place of few replicas.
+    This is rendezvous hashing: nodes with the same list compute the same order
+    for a replica, and a node that joins or goes changes the first place of few
+    replicas only.
 
-    :param replica: name of its life.
+    :param replica: name of the replica's incarnation.
     """
     return sorted(
         (node for node in nodes if node.address),
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
@@ -1,20 +1,20 @@
-"""The limits that replicas named, as far as a node has heard."""
+"""Rate limits that replicas have announced, as far as a node knows them."""
 
 import math
 from collections.abc import Container
 from dataclasses import dataclass, field
 
 RETENTION_SECONDS = 60.0
-"""How long the word of a replica that is gone is kept."""
+"""How long the limit of a replica that is no longer listed is kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """What a replica said of its limit.
+    """A rate limit that a replica has announced, or that it has none.
 
-    :param limit: requests a second from all nodes together; nothing if it
-        said that it has none.
-    :param at: when it said so, in monotonic seconds.
+    :param limit: requests per second from all nodes together; ``None`` if
+        the replica announced that it has no limit.
+    :param at: monotonic seconds at which the replica announced it.
     """
 
     limit: float | None
@@ -23,14 +23,15 @@
 
 @dataclass(eq=False)
 class LimitBook:
-    """The newest word of each replica, by the name of its life."""
+    """Newest announced limit of each replica, by name of its incarnation."""
 
     _reported: dict[str, Heard] = field(default_factory=dict)
 
     def hear(self, name: str, reported: Heard) -> bool:
-        """Take what a replica said, unless a newer word is known.
+        """Record an announced limit, unless a newer one is known.
 
-        :returns: whether it has a limit now and had none, or the reverse.
+        :returns: whether the replica has a limit now and had none, or the
+            reverse.
         """
         known = self._reported.get(name)
         if known is not None and known.at > reported.at:
@@ -44,16 +45,16 @@
         return (before is None) != (reported.limit is None)
 
     def find(self, name: str) -> Heard | None:
-        """Find the newest word of one that has, or had, a limit."""
+        """Find the newest announcement of a replica that has or had a limit."""
         return self._reported.get(name)
 
     def find_limit(self, name: str) -> float | None:
-        """Find the limit of a replica; nothing if it has none."""
+        """Find the limit of a replica; ``None`` if it has none."""
         known = self._reported.get(name)
         return None if known is None else known.limit
 
     def list_limited(self) -> frozenset[str]:
-        """Name the replicas that have a limit."""
+        """List the names of the replicas that have a limit."""
         return frozenset(
             name
             for name, known in self._reported.items()
@@ -61,10 +62,12 @@
         )
 
     def keep(self, names: Container[str], now: float) -> None:
-        """Forget the replicas that are gone, but not at once.
+        """Drop replicas that are no longer listed, after some time.
 
-        An entry that lapses in an outage comes back with the same life, which
-        is in need as before.
+        An entry that expires in an outage of the store reappears for the same
+        incarnation, which is as overloaded as before.
+
+        :param names: names of the replicas that are listed.
         """
         self._reported = {
             name: known
--- a/tests/core/throttle/test_bucket.py
+++ b/tests/core/throttle/test_bucket.py
@@ -1,4 +1,4 @@
-"""Permits for a replica in need, while it is the cheapest for many nodes."""
+"""Permits of an overloaded replica that many nodes find the cheapest."""
 
 import pytest
 
@@ -23,7 +23,10 @@
 def _grant(
     buckets: list[TokenBucket], seconds: float, start: float
 ) -> list[float]:
-    """Take all permits that there are, for some seconds."""
+    """Take every available permit for some seconds.
+
+    :returns: the times at which permits were granted.
+    """
     steps = int(seconds / _STEP_SECONDS)
     moments = [start + step * _STEP_SECONDS for step in range(steps)]
     return [
@@ -36,14 +39,14 @@
 
 def _count_most(times: list[float]) -> int:
     return max(
-        sum(begun <= at < begun + _SPAN_SECONDS for at in times)
-        for begun in times
+        sum(start <= at < start + _SPAN_SECONDS for at in times)
+        for start in times
     )
 
 
 @pytest.mark.parametrize('limit', _LIMITS)
 def test_two_limiters_stay_within_a_limit(limit: float) -> None:
-    """A replica gets too much as two nodes grant its permits at once."""
+    """A replica is overloaded as two nodes grant its permits at once."""
     buckets = [TokenBucket(limit, 0), TokenBucket(limit, 0)]
     times = _grant(buckets, 3 * _SPAN_SECONDS, start=60)
     assert _count_most(times) <= _allow(limit)
@@ -51,19 +54,19 @@
 
 @pytest.mark.parametrize('limit', [1, 4.2, 16, 50])
 def test_limit_is_mostly_used_up(limit: float) -> None:
-    """A replica in need gets far less than it would take."""
+    """An overloaded replica gets far fewer requests than its limit allows."""
     times = _grant([TokenBucket(limit, 0)], 20, start=0)
     assert len(times) >= 0.7 * limit * 20
 
 
 @pytest.mark.parametrize('limit', [0, 0.01])
 def test_smallest_limit_lets_a_request_through(limit: float) -> None:
-    """A replica that takes almost nothing is never asked again."""
+    """A replica with a limit near zero never gets a request again."""
     assert len(_grant([TokenBucket(limit, 0)], 20, start=0)) >= 4
 
 
 def test_new_limiter_has_one_permit() -> None:
-    """Each node that begins to grant adds what could be saved up."""
+    """Each node that begins to grant adds a full bucket of permits."""
     bucket = TokenBucket(4, now=100)
     assert _take_all(bucket, 100) == 1
     assert bucket.find_wait(100) == pytest.approx(1 / 3)
--- a/tests/core/throttle/test_limiters.py
+++ b/tests/core/throttle/test_limiters.py
@@ -19,7 +19,7 @@
 
 
 def test_limiters_are_spread_over_the_nodes() -> None:
-    """One node grants for all replicas, and is asked by all others."""
+    """One node grants all permits, and all other nodes send it requests."""
     nodes = _make_nodes(8)
     chosen = Counter(
         rank_limiters(f'b-{number}', nodes)[0].name for number in range(400)
@@ -29,7 +29,7 @@
 
 
 def test_new_node_takes_over_few_replicas() -> None:
-    """Each start of a node changes the limiters of all replicas."""
+    """The start of one node changes the limiters of all replicas."""
     nodes = _make_nodes(20)
     names = [f'b-{number}' for number in range(200)]
     moved = [
--- a/tests/core/throttle/test_limits.py
+++ b/tests/core/throttle/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits that replicas named."""
+"""Rate limits that replicas have announced."""
 
 import math
 
@@ -9,55 +9,55 @@
 
 
 def test_newest_word_counts() -> None:
-    book = LimitBook()
-    assert book.hear('b-0', Heard(4, 10))
-    assert not book.hear('b-0', Heard(5, 11))
-    assert book.find_limit('b-0') == 5
-    assert book.hear('b-0', Heard(None, 12))
-    assert book.find_limit('b-0') is None
+    tracker = LimitBook()
+    assert tracker.hear('b-0', Heard(4, 10))
+    assert not tracker.hear('b-0', Heard(5, 11))
+    assert tracker.find_limit('b-0') == 5
+    assert tracker.hear('b-0', Heard(None, 12))
+    assert tracker.find_limit('b-0') is None
 
 
 def test_late_older_word_lifts_no_limit() -> None:
-    """An answer that began before the limit was named lifts it."""
-    book = LimitBook()
-    book.hear('b-0', Heard(4, 10))
-    assert not book.hear('b-0', Heard(None, 9))
-    assert book.find_limit('b-0') == 4
+    """An answer that began before the limit was announced lifts it."""
+    tracker = LimitBook()
+    tracker.hear('b-0', Heard(4, 10))
+    assert not tracker.hear('b-0', Heard(None, 9))
+    assert tracker.find_limit('b-0') == 4
 
 
 @pytest.mark.parametrize('nonsense', [math.nan, math.inf, -1.0])
 def test_nonsense_leaves_a_limit_as_it_was(nonsense: float) -> None:
-    book = LimitBook()
-    book.hear('b-0', Heard(4, 10))
-    assert not book.hear('b-0', Heard(nonsense, 11))
-    assert book.find_limit('b-0') == 4
+    tracker = LimitBook()
+    tracker.hear('b-0', Heard(4, 10))
+    assert not tracker.hear('b-0', Heard(nonsense, 11))
+    assert tracker.find_limit('b-0') == 4
 
 
 def test_word_of_no_limit_takes_no_memory() -> None:
-    book = LimitBook()
-    assert not book.hear('b-0', Heard(None, 10))
-    assert book.find('b-0') is None
+    tracker = LimitBook()
+    assert not tracker.hear('b-0', Heard(None, 10))
+    assert tracker.find('b-0') is None
 
 
 def test_limits_end_with_their_lives() -> None:
-    """A replica that starts again under its entry inherits a limit."""
-    book = LimitBook()
-    book.hear('b-0+1', Heard(4, 10))
-    assert book.find_limit('b-0+2') is None
-    book.keep({'b-0+2'}, 10 + RETENTION_SECONDS)
-    assert book.list_limited() == frozenset()
+    """A replica that restarts under the same entry inherits a limit."""
+    tracker = LimitBook()
+    tracker.hear('b-0+1', Heard(4, 10))
+    assert tracker.find_limit('b-0+2') is None
+    tracker.keep({'b-0+2'}, 10 + RETENTION_SECONDS)
+    assert tracker.list_limited() == frozenset()
 
 
 def test_limit_outlasts_a_lapsed_entry() -> None:
-    """A replica in need is lost from the list for a while in an outage."""
-    book = LimitBook()
-    book.hear('b-0', Heard(4, 10))
-    book.keep((), 10 + RETENTION_SECONDS / 2)
-    assert book.find_limit('b-0') == 4
+    """In an outage an overloaded replica is not listed for a while."""
+    tracker = LimitBook()
+    tracker.hear('b-0', Heard(4, 10))
+    tracker.keep((), 10 + RETENTION_SECONDS / 2)
+    assert tracker.find_limit('b-0') == 4
 
 
 def test_limit_of_a_listed_replica_does_not_age() -> None:
-    book = LimitBook()
-    book.hear('b-0', Heard(4, 10))
-    book.keep({'b-0'}, 10 + 10 * RETENTION_SECONDS)
-    assert book.find_limit('b-0') == 4
+    tracker = LimitBook()
+    tracker.hear('b-0', Heard(4, 10))
+    tracker.keep({'b-0'}, 10 + 10 * RETENTION_SECONDS)
+    assert tracker.find_limit('b-0') == 4
