--- a/packages/ryelatch-core/src/ryelatch_core/membership/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there, who leaves, who speaks to whom."""
+"""Members of the fleet: upstreams, peers, leases, watchers, departures."""
 
 from ryelatch_core.membership._departure import (
     ANSWER_SECONDS,
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -1,58 +1,63 @@
-"""How long a replica that has left may still be chosen.
-
-The platform bounds the time from when it accepts that a replica leaves to the
-last request that reaches it. That time is a sum:
-
-==================  ======================================================
-age of the list     a lost watch is noticed when its answer is overdue;
-                    until then nothing shows that the list grows old
-entry that is kept  one that went in an outage of the store may come back
-way of a request    from the choice to its arrival, a connection included
-==================  ======================================================
-
-The first and the last together stay within the bound for every node that the
-store answers. An entry is kept only as long as the trouble that may have taken
-it still excuses the node, counted from the latest time at which that trouble is
-proved: when the last call was sent that got no answer.
+"""How long a node may still send requests to a replica that is leaving.
+
+The platform bounds the time from its acceptance that a replica leaves to the
+last request that reaches the replica. That time is a sum:
+
+===================  =====================================================
+age of the list      a lost watch is noticed only when its response is
+                     overdue; until then the list ages unnoticed
+retention of an      an entry that disappears in an outage of the store
+entry                may reappear, so it is kept in use for a while
+delivery of a        from the choice of the replica to the arrival there,
+request              a new connection included
+===================  =====================================================
+
+The first and the last together stay within the bound at every node that gets
+responses from the store. After an outage the platform does not hold a node to
+the bound for some seconds, and a missing entry is kept no longer than that.
+They are counted from the latest time at which the outage is certain: when the
+last call was sent that got no response.
 """
 
 from dataclasses import dataclass
 
 NEVER = float('-inf')
-"""When a call was left unanswered, where none was."""
+"""Time of the last call without a response, if there was no such call."""
 
 SEND_SECONDS = 0.6
-"""Longest wait for a connection to an upstream.
+"""Timeout of a new connection to an upstream.
 
-A VM that is up answers within two milliseconds, in another zone too. One
-that is down answers nothing; half a second later the request is elsewhere.
+A VM that is up accepts it within two milliseconds, also from another zone. One
+that is down does not respond, and half a second later the request goes
+elsewhere.
 """
 
 ANSWER_SECONDS = 0.5
-"""How long the store's answer may be overdue until it counts as lost.
+"""How long a response of the store may be overdue until it counts as lost.
 
-It answers in 4 ms, and on slow days in 240 ms. All else that waits for it, an
-outage noticed included, takes at least this long.
+The store responds in 4 ms, at slow times in 240 ms. Whatever waits for it, the
+detection of an outage included, takes at least this long.
 """
 
 MARGIN_SECONDS = 0.1
-"""What a node takes besides: a call that follows a lost one, its own loop."""
+"""Allowance for other delays: the call after a lost one, the event loop."""
 
 RETURN_SECONDS = 2.0
-"""Time after an outage in which entries come back that lapsed in it."""
+"""Time after an outage in which entries that expired in it reappear."""
 
 MIN_AGE_BOUND_SECONDS = 0.8
-"""Age of the list that is always allowed, as each look at the store costs."""
+"""Smallest bound on the age of the list, as each call to the store costs."""
 
 
 @dataclass(frozen=True, slots=True)
 class DepartureTerms:
-    """What a node has to keep so that no request comes too late.
+    """Time limits that keep requests from reaching a replica too late.
 
     :param bound: seconds for which a replica that leaves may get requests.
-    :param oldest: age of the list that is not passed while the store answers.
-    :param kept: seconds for which a missing entry is used, from when the last
-        call was sent that the store left unanswered.
+    :param oldest: largest age of the list, in seconds, while the store
+        responds.
+    :param kept: seconds for which a missing entry stays in use, counted from
+        when the last call without a response was sent to the store.
     """
 
     bound: float
@@ -61,16 +66,16 @@
 
 
 def reckon_terms(bound: float, steady: float) -> DepartureTerms:
-    """Reckon the terms from the platform's bounds.
+    """Compute the time limits from the platform's bounds.
 
     :param bound: seconds for which a replica that leaves may get requests.
-    :param steady: seconds after some trouble for which a node is not held to
+    :param steady: seconds after an outage for which a node is not held to
         that bound.
     """
     delivery = SEND_SECONDS + MARGIN_SECONDS
     return DepartureTerms(
         bound=bound,
         oldest=max(bound - delivery, MIN_AGE_BOUND_SECONDS),
-        # The outage may have lasted as long as a call takes to be given up.
+        # The outage may have lasted until the call timed out.
         kept=max(0, min(ANSWER_SECONDS + RETURN_SECONDS, steady - delivery)),
     )
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
@@ -1,21 +1,26 @@
-"""Leases on duties: who may act, and under which fencing number.
+"""Leases on tasks that one node performs for all, with fencing numbers.
 
-A lease is for liveness only: it can lapse while its holder is paused and
-unaware. Safety comes from the fencing number, which grows with each holder.
+A lease ensures liveness only: it can expire while its holder is paused and
+does not notice. Safety comes from the fencing number, which grows with each
+holder.
 """
 
 from dataclasses import dataclass, replace
 
 TTL_SECONDS = 6.0
+"""Time after which a lease that is not renewed may be taken."""
+
 ORDER_SECONDS = 2.0
+"""Timeout of a command that is sent to an engine under a lease."""
 
 
 @dataclass(frozen=True)
 class Lease:
-    """A duty as the store holds it.
+    """The record of a leased task in the store.
 
-    :param fence: grows with each holder and is never used again.
-    :param released: the holder has given it back in order.
+    :param holder: name of the node that holds the lease.
+    :param fence: fencing number; grows with each holder, never reused.
+    :param released: whether the holder has given the lease back.
     """
 
     holder: str
@@ -28,14 +33,17 @@
     name: str,
     unchanged: float,
 ) -> Lease | None:
-    """Decide whether a lease may be taken, and as what to write it.
+    """Decide whether a node may take a lease, and which record to write.
 
-    Clocks of VMs differ, so no time stands in the record. One that wants it
-    watches the record itself: unchanged for the whole time to live by its
-    own clock, the holder has not renewed it.
+    Clocks of VMs differ, so the record holds no time. A node that is to take
+    the lease watches the record instead: if it stays unchanged for the time to
+    live by the node's own clock, its holder has not renewed it.
 
+    :param known: the record in the store; ``None`` if there is none.
+    :param name: name of the node that is to take the lease.
     :param unchanged: seconds for which this node has seen no change of it.
-    :returns: the record to write, under the condition that nobody else did.
+    :returns: the record to write, on condition that it has not changed since;
+        ``None`` if the lease may not be taken.
     """
     if known is None:
         return Lease(name, 1)
@@ -45,19 +53,20 @@
 
 
 def may_order(held_since: float, taken: float, now: float) -> bool:
-    """Decide whether a holder may still send an order.
+    """Decide whether the holder of a lease may send a command now.
 
-    Some engines ignore fencing numbers, so an order must end before another
-    can hold the lease, and a new holder must wait until orders of the last
-    one have ended.
+    Some engines ignore fencing numbers, so a command must be over before
+    another node can hold the lease, and a new holder must wait until commands
+    of the previous holder are over.
 
-    :param held_since: when the last successful renewal was begun.
-    :param taken: when this holder first took the lease.
+    :param held_since: when the last successful renewal was begun, in
+        monotonic seconds.
+    :param taken: when this holder first took the lease, in monotonic seconds.
     """
     safe_until = held_since + TTL_SECONDS - ORDER_SECONDS
     return taken + ORDER_SECONDS <= now < safe_until
 
 
 def release_lease(lease: Lease) -> Lease:
-    """Give a lease back, so that the next holder need not wait."""
+    """Mark a lease as released, so that the next holder need not wait."""
     return replace(lease, released=True)
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_peers.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_peers.py
@@ -1,4 +1,4 @@
-"""Which nodes speak to which, and which watch the store."""
+"""Chooses the peers of a node, and the nodes that watch the store."""
 
 import hashlib
 from collections.abc import Iterable
@@ -6,18 +6,29 @@
 from ryelatch_core.membership._roster import Vm
 
 FULL_MESH_PEERS = 16
+"""Largest number of other nodes at which each connects to all others."""
+
 ZONE_PEERS = 8
+"""Peers in a node's own availability zone, in a larger fleet."""
+
 PEERS_PER_REMOTE_ZONE = 2
+"""Peers in each other availability zone, in a larger fleet."""
+
 ZONE_WATCHERS = 2
+"""Nodes of each availability zone that watch the store."""
 
 
 def choose_peers(name: str, zone: str, nodes: Iterable[Vm]) -> list[Vm]:
-    """Choose the nodes that a node opens streams to.
+    """Choose the peers that a node opens streams to.
+
+    A small fleet is a full mesh. In a larger one a node chooses, in its own
+    availability zone, the next few nodes on a ring of names, which keeps the
+    zone connected when nodes fail, and in each other zone a few that differ
+    from node to node. So the number of peers grows with the number of zones,
+    not of nodes.
 
-    A small fleet is a full mesh. In a larger one these are, in the own
-    availability zone, the next few on a ring of names, which keeps the zone
-    connected whoever else fails; and in each other zone a few that differ
-    from node to node. So the count grows with zones, not with nodes.
+    :param name: name of the node that chooses.
+    :param zone: its availability zone.
     """
     others = [node for node in nodes if node.name != name]
     if len(others) <= FULL_MESH_PEERS:
@@ -36,19 +47,19 @@
 
 
 def should_watch(name: str, zone_peers: Iterable[str]) -> bool:
-    """Tell whether a node is one of its zone's few that watch the store.
+    """Whether a node is one of its zone's few that watch the store.
 
-    Two nodes with different views may both watch or a zone have none for a
-    moment; watching twice costs a call, and without a watcher the slow poll
-    of each node still brings each revision.
+    As the views of nodes differ, a zone can have too many watchers or none for
+    a moment. A surplus one costs a call; without any, each node still learns
+    of every revision from its own slow poll.
 
-    :param zone_peers: names of the nodes in the zone heard of just now.
+    :param zone_peers: names of the other nodes of the zone that are connected.
     """
     return sorted({name, *zone_peers}).index(name) < ZONE_WATCHERS
 
 
 def _rank(name: str, nodes: Iterable[Vm]) -> list[Vm]:
-    """Order nodes by a hash of the pair (rendezvous hashing)."""
+    """Sort nodes by a hash of both names (rendezvous hashing)."""
     return sorted(
         nodes,
         key=lambda node: hashlib.sha256(
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -1,4 +1,4 @@
-"""Which upstreams may get new work, from several late views."""
+"""Decides which upstreams may get new work, from several delayed sources."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -8,8 +8,9 @@
 class Vm:
     """A VM as the platform lists it.
 
-    :param role: ``node``, ``engine``, or the role of a plain service.
+    :param role: ``node``, ``engine``, or the role of a non-model service.
     :param address: ``host:port``.
+    :param leaving: whether the VM is about to stop.
     """
 
     name: str
@@ -21,11 +22,12 @@
 
 @dataclass(frozen=True)
 class Member:
-    """What is known of one VM.
+    """A VM and what each source reports about it.
 
-    :param announced: it said itself that it leaves.
-    :param reported_by: peers that know first-hand that it leaves.
-    :param missing: consecutive lists without it.
+    :param announced: whether the VM itself has announced that it leaves.
+    :param reported_by: names of peers that report from a source of their own
+        that it leaves.
+    :param missing: number of consecutive lists without the VM.
     """
 
     vm: Vm
@@ -35,11 +37,11 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether new work must not go there.
+        """Whether the VM is leaving and must not get new work.
 
-        The list of the platform lags by seconds, and an upstream's own word
+        The platform's list lags by seconds, and an upstream's announcement
         reaches only the nodes connected to it. One source is enough: work
-        sent to an upstream that leaves is cut off, work that is kept from
+        sent to an upstream that leaves is cut off, while work withheld from
         one that stays goes elsewhere.
         """
         return self.vm.leaving or self.announced or bool(self.reported_by)
@@ -47,18 +49,24 @@
 
 @dataclass(frozen=True)
 class RosterChange:
-    """What a new list changes."""
+    """What a new list has changed.
+
+    :param joined: VMs that are new or have another address.
+    :param left: names of VMs that were dropped.
+    :param leaving: names of VMs that are now known to be leaving.
+    """
 
     joined: tuple[Vm, ...] = ()
     left: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
 
 
-MISSING_LISTS = 3
+_MAX_MISSING_LISTS = 3
+"""Consecutive lists without a VM after which it is dropped."""
 
 
 class Roster:
-    """The merged view of all VMs."""
+    """All VMs of the fleet, merged from all sources."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
@@ -69,12 +77,13 @@
         *,
         settled: bool = False,
     ) -> RosterChange:
-        """Take in a list of the platform.
+        """Apply a list of the platform.
 
-        A list can lack a VM for a moment, as it lags; a member is dropped
+        A list can lack a VM for a moment, as it lags, so a member is dropped
         only after several lists without it.
 
-        :param settled: the list comes from a peer that has waited already.
+        :param settled: whether a missing VM is dropped at once, as the list
+            comes from a peer that has waited for several lists already.
         """
         listed = {vm.name: vm for vm in vms}
         joined = [vm for vm in listed.values() if self._is_new(vm)]
@@ -98,7 +107,10 @@
         return RosterChange(tuple(joined), left, tuple(leaving))
 
     def note_leaving(self, name: str) -> bool:
-        """Note a VM's own word that it leaves; tell whether that was news."""
+        """Record a VM's announcement that it leaves.
+
+        :returns: whether the VM was not known to be leaving.
+        """
         member = self.members.get(name)
         if member is None:
             return False
@@ -106,27 +118,28 @@
         return not member.leaving
 
     def note_staying(self, name: str) -> None:
-        """Note a VM's own word, after a restart, that it stays."""
+        """Record a VM's announcement, after a restart, that it stays."""
         member = self.members.get(name)
         if member is not None:
             self.members[name] = replace(member, announced=False)
 
     def apply_peer(self, peer: str, names: Iterable[str]) -> tuple[str, ...]:
-        """Take in all VMs that a peer knows first-hand to be leaving.
+        """Apply a peer's report of all VMs that it knows to be leaving.
 
-        Second-hand word is not passed on: two peers would keep it alive
-        between them after the VM has come back.
+        A peer reports only what the VM or the platform told it, not what its
+        peers report: two peers would keep confirming each other after the VM
+        has come back.
 
-        :returns: the names that were news.
+        :returns: names of VMs that were not known to be leaving.
         """
-        reported_by = frozenset(names)
+        reported = frozenset(names)
         newly_leaving = tuple(
             name
             for name, member in self.members.items()
-            if name in reported_by and not member.leaving
+            if name in reported and not member.leaving
         )
         for name, member in self.members.items():
-            if name in reported_by:
+            if name in reported:
                 peers = member.reported_by | {peer}
             else:
                 peers = member.reported_by - {peer}
@@ -134,7 +147,10 @@
         return newly_leaving
 
     def list_leaving(self) -> tuple[str, ...]:
-        """Name the VMs known first-hand to be leaving."""
+        """List the VMs that leave by their own announcement or the platform's.
+
+        :returns: the names to report to peers.
+        """
         return tuple(
             name
             for name, member in self.members.items()
@@ -159,7 +175,7 @@
 
     def _count_missing(self, name: str) -> bool:
         member = self.members[name]
-        if member.missing + 1 < MISSING_LISTS:
+        if member.missing + 1 < _MAX_MISSING_LISTS:
             self.members[name] = replace(member, missing=member.missing + 1)
             return False
         return True
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
@@ -1,8 +1,9 @@
 """Chooses the nodes that watch the store for others.
 
-Each watch of each node has its price and its share of the store's rate; with
-ninety nodes, calls to the store cost more than a tenth of what a day is worth.
-A few nodes of each availability zone watch, and the others ask them.
+Every call to the store has a price and takes a part of the store's rate limit;
+if each of ninety nodes watched, calls would cost more than a tenth of the value
+of a day's service. So a few nodes of each availability zone watch, and the
+others send their requests to them.
 """
 
 import zlib
@@ -10,27 +11,31 @@
 from dataclasses import dataclass
 
 FEWEST_NODES = 20
-"""Nodes of a fleet below which each watches for itself.
+"""Size of a fleet, in nodes, below which each node watches for itself.
 
-Those that watch for others ask the store more often, so that a blind one is
-noticed in time; below twenty nodes this costs what the others save.
+Nodes that watch for others call the store more often, so that the others soon
+notice one that is cut off from the store. Below twenty nodes, these calls cost
+as much as the others save.
 """
 
 NODES_PER_WATCHER = 48
-"""Nodes of a zone for each one that watches for them.
+"""Number of nodes in a zone for each node that watches for them.
 
-A change of a hundred entries is 4 kB for each of them as it is sent, a sixth
-of a second for all on the weakest links, and those with the widest are asked.
-Where the only one of a zone is lost, its nodes ask another zone's.
+A change of a hundred entries is 4 kB on the wire for each of them: a sixth of a
+second for all on the slowest links, and the nodes with the fastest links are
+chosen. If the only watcher of a zone is lost, its nodes send their requests to
+watchers of other zones.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """A node, as the nodes list themselves.
+    """A node's entry in the list of nodes.
 
-    :param address: ``host:port`` where peers ask; empty if it has none.
-    :param link_mbps: of its VM's link.
+    :param name: name of the node.
+    :param zone: its availability zone.
+    :param address: ``host:port`` for requests of peers; empty if it has none.
+    :param link_mbps: bandwidth of its VM's link, in Mbit/s.
     """
 
     name: str
@@ -44,13 +49,17 @@
     zone: str,
     nodes: Iterable[NodeEntry],
 ) -> tuple[NodeEntry, ...]:
-    """Choose whom a node asks, best first: the own zone's, then others'.
+    """Choose the watchers that a node sends its requests to, best first.
 
-    :param node_name: name of the node that asks.
-    :returns: none of the own zone's if this node is one of them; they watch
-        for themselves while they can. Where all of a zone are cut off, its
-        nodes ask another zone's: asking the store they would be as many calls
-        at once as the zone has nodes.
+    Watchers of the node's own zone come first, then those of other zones. If
+    all watchers of a zone are cut off from the store, its nodes turn to other
+    zones: if they turned to the store, it would get as many calls at once as
+    the zone has nodes.
+
+    :param node_name: name of the node that sends the requests.
+    :param zone: its availability zone.
+    :returns: the watchers; none of its own zone if the node is one of them, as
+        watchers watch for themselves while they can.
     """
     zones: dict[str, list[NodeEntry]] = {}
     for node in nodes:
@@ -58,16 +67,18 @@
             zones.setdefault(node.zone, []).append(node)
     local = _select_watchers(zones.pop(zone, []))
     remote = [
-        one for name in sorted(zones) for one in _select_watchers(zones[name])
+        watcher
+        for name in sorted(zones)
+        for watcher in _select_watchers(zones[name])
     ]
-    if any(one.name == node_name for one in local):
+    if any(watcher.name == node_name for watcher in local):
         local = []
     return (*_rotate(local, node_name), *_rotate(remote, node_name))
 
 
 def shares_watches(nodes: Iterable[NodeEntry]) -> bool:
-    """Whether some nodes of a fleet watch for others."""
-    return len([one for one in nodes if one.address]) >= FEWEST_NODES
+    """Whether the fleet is so large that some nodes watch for others."""
+    return len([node for node in nodes if node.address]) >= FEWEST_NODES
 
 
 def watches_for_others(
@@ -75,21 +86,21 @@
 ) -> bool:
     """Whether a node is one of those that watch for others."""
     known = tuple(nodes)
-    own = [one for one in known if one.zone == zone and one.address]
+    local = [node for node in known if node.zone == zone and node.address]
     return shares_watches(known) and any(
-        one.name == node_name for one in _select_watchers(own)
+        node.name == node_name for node in _select_watchers(local)
     )
 
 
 def _select_watchers(nodes: list[NodeEntry]) -> list[NodeEntry]:
-    """List the nodes of a zone that watch: those with the widest links."""
+    """Select the nodes of a zone that watch: those with the fastest links."""
     count = -(-len(nodes) // NODES_PER_WATCHER)
-    ordered = sorted(nodes, key=lambda one: (-one.link_mbps, one.name))
+    ordered = sorted(nodes, key=lambda node: (-node.link_mbps, node.name))
     return ordered[:count]
 
 
 def _rotate(nodes: list[NodeEntry], node_name: str) -> list[NodeEntry]:
-    """Let each node begin with another one, so that all are asked alike."""
+    """Rotate a list by a hash of the node's name, to spread the requests."""
     if not nodes:
         return []
     first = zlib.crc32(node_name.encode()) % len(nodes)
--- a/tests/core/membership/test_departure.py
+++ b/tests/core/membership/test_departure.py
@@ -1,4 +1,4 @@
-"""The sum that bounds requests to replicas that have left."""
+"""Time limits on requests to replicas that are leaving."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     bound: float,
     steady: float,
 ) -> None:
-    """A choice by the oldest list allowed arrives in time."""
+    """A request chosen from the oldest list allowed arrives in time."""
     terms = reckon_terms(bound, steady)
     assert terms.oldest + SEND_SECONDS < bound
     assert terms.oldest > ANSWER_SECONDS
@@ -27,25 +27,26 @@
     bound: float,
     steady: float,
 ) -> None:
-    """An entry that went just before an outage can't be told from a lapsed one.
+    """A removed entry looks like one that expired in an outage.
 
-    It is kept for no longer than the outage itself excuses.
+    If it was removed just before the outage, its replica may be leaving. It is
+    kept no longer than the time for which the bound does not hold.
     """
     terms = reckon_terms(bound, steady)
     assert terms.kept + SEND_SECONDS < steady
 
 
 def test_live_replicas_have_time_to_come_back() -> None:
-    """They come back within two seconds where the platform allows for it.
+    """Entries reappear within two seconds, if the platform allows that long.
 
-    With the shorter time of small fleets, those that take the longest miss it
-    by 0.2 s.
+    With the shorter time of small fleets, the slowest entries reappear 0.2 s
+    too late.
     """
     assert reckon_terms(3, 4).kept == pytest.approx(2.5)
     assert reckon_terms(2, 3).kept == pytest.approx(2.3)
 
 
 def test_small_bound_leaves_time_to_look() -> None:
-    """The store is not asked without a pause, however small the bound is."""
+    """A small bound must not lead to calls to the store without a pause."""
     assert reckon_terms(0.5, 0.5).oldest == pytest.approx(0.8)
     assert reckon_terms(0.5, 0.5).kept == 0
--- a/tests/core/membership/test_roster.py
+++ b/tests/core/membership/test_roster.py
@@ -1,4 +1,4 @@
-"""Who may get new work, and who speaks to whom."""
+"""Upstreams that may get new work, peers of nodes, and leases."""
 
 from ryelatch_core.membership import (
     TTL_SECONDS,
@@ -32,9 +32,10 @@
 
 
 def test_word_of_a_peer_ends_with_it() -> None:
-    """An engine is back after a restart, and peers heard that it had left.
+    """An engine restarts after peers have reported that it leaves.
 
-    Were second-hand word passed on, two peers would keep it out for good.
+    If peers passed on each other's reports, two peers would keep the engine
+    out of use for good.
     """
     roster = Roster()
     roster.apply_list([_vm('a')])
@@ -84,10 +85,10 @@
 
 
 def test_orders_of_two_holders_never_overlap() -> None:
-    """The first holder is paused, and its lease lapses without its notice.
+    """The first holder is paused, and its lease expires unnoticed.
 
-    The last moment at which it may send, with the order's own time limit,
-    lies before the first moment at which the next holder may.
+    The last moment at which it may send a command, plus the command's timeout,
+    lies before the first moment at which the next holder may send one.
     """
     renewed = 100.0
     last = max(
