--- a/packages/ryelatch-core/src/ryelatch_core/outcomes/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""The one outcome that ends each request, and the error told with it."""
+"""Outcomes of requests, and the errors that clients receive with them."""
 
 from ryelatch_core.outcomes._outcome import (
     OUTCOME_HEADER,
--- a/packages/ryelatch-core/src/ryelatch_core/outcomes/_outcome.py
+++ b/packages/ryelatch-core/src/ryelatch_core/outcomes/_outcome.py
@@ -1,37 +1,41 @@
-"""Outcomes of requests."""
+"""Outcomes of requests, and error responses."""
 
 import enum
 from dataclasses import dataclass
 
 OUTCOME_HEADER = 'x-ryelatch-outcome'
+"""Response header with the outcome of the request."""
+
 REQUEST_HEADER = 'x-ryelatch-request'
+"""Header with the identity of the request."""
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request; each ends in exactly one."""
+    """Outcome of a request; each request has exactly one."""
 
     COMPLETE = 'complete'
-    """The whole answer was given."""
+    """The client received the complete answer."""
 
     NOT_RUN = 'not-run'
-    """No upstream ran any of it, for certain: it may be repeated."""
+    """No upstream has run any part of it, so it may be repeated safely."""
 
     UNKNOWN = 'unknown'
     """It may have run, and its answer is lost."""
 
     FAILED = 'failed'
-    """It ran, or was looked at, and the answer is a refusal."""
+    """It was run or examined, and the answer is an error."""
 
 
 @dataclass(frozen=True)
 class Failure:
-    """A final answer other than the one asked for.
+    """An error response to a request.
 
     :param status: HTTP status.
     :param code: machine-readable reason, in the error's ``code``.
-    :param message: what a person reads.
-    :param outcome: what became of the request.
-    :param retry_after: seconds after which asking again makes sense.
+    :param message: text for people.
+    :param outcome: outcome of the request.
+    :param retry_after: seconds after which the client should try again.
+    :param kind: category of the error, in its ``type``.
     """
 
     status: int
--- a/packages/ryelatch-core/src/ryelatch_core/retries/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries from becoming a storm."""
+"""Budgets that limit retries, so that they don't multiply load."""
 
 from ryelatch_core.retries._budget import RetryBudget
 
--- a/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
+++ b/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
@@ -1,19 +1,22 @@
-"""A budget of retries, as a share of the requests."""
+"""A retry budget: a limit on retries relative to the requests."""
 
 DEFAULT_RATIO = 0.1
+"""Retries for each request."""
+
 DEFAULT_RESERVE = 10.0
+"""Largest number of retries that are saved up."""
 
 
 class RetryBudget:
-    """Lets a share of requests be sent again, and a few in reserve.
+    """Allows retries for a fraction of the requests, and a few in reserve.
 
-    When half of the upstreams fail, each request that is sent up to three
-    times triples the load on the other half; the outage then feeds itself
-    and outlives its cause. With a budget the load grows by a tenth.
+    If half of the upstreams fail and each request is sent up to three times,
+    the load on the other half triples; the outage then sustains itself and
+    outlasts its cause. With a budget the load grows by a tenth.
 
     :param ratio: retries earned by each request.
-    :param reserve: the most that can be saved up.
-    :param rate: retries that come free in a second besides.
+    :param reserve: largest number of retries that are saved up.
+    :param rate: retries per second that are added besides.
     """
 
     def __init__(
@@ -28,10 +31,10 @@
         self._left = reserve
 
     def resize(self, ratio: float, reserve: float, rate: float) -> None:
-        """Change what is earned and saved up; what is beyond it is lost.
+        """Change the parameters; retries beyond the new reserve are lost.
 
-        What is left does not grow: a budget that was opened for few nodes
-        and turns out to be shared by many has spent too much already.
+        The retries left do not grow: a budget that was opened for few nodes
+        and is in fact shared by many has spent too much already.
         """
         self._ratio = ratio
         self._reserve = reserve
@@ -44,15 +47,15 @@
         return self._left
 
     def earn(self) -> None:
-        """Note a first try."""
+        """Record the first attempt of a request."""
         self._left = min(self._reserve, self._left + self._ratio)
 
     def refill(self, seconds: float) -> None:
-        """Add what came free in a time."""
+        """Add the retries that the rate yields over some seconds."""
         self._left = min(self._reserve, self._left + self._rate * seconds)
 
     def spend(self) -> bool:
-        """Take leave for a retry, if there is any."""
+        """Spend one retry, if any is left; tell whether there was one."""
         if self._left < 1:
             return False
         self._left -= 1
--- a/packages/ryelatch-core/src/ryelatch_core/routing/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""What operators configure of routes and accounts, and what it allows."""
+"""Configuration of routes, services and client accounts, and look-ups in it."""
 
 from ryelatch_core.routing._confirmation import Confirmation
 from ryelatch_core.routing._table import (
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
@@ -1,44 +1,46 @@
-"""How old a node's knowledge of the configuration may be."""
+"""Age limit of a configuration that a node has not been able to confirm."""
 
 from dataclasses import dataclass
 
 REVOCATION_MARGIN_SECONDS = 1.3
-"""Seconds kept back from the bound on revoked keys.
+"""Seconds by which keys are refused before the bound on revoked keys.
 
-A watch can hear nothing for a second while changes are made, before it is
-cut; the rest is for a request on its way to an upstream.
+A watch can go without a notification for one second while changes are made,
+before its connection is cut; the rest is for a request in transit to an
+upstream.
 """
 
 
 @dataclass(slots=True)
 class Confirmation:
-    """When the configuration in force was last known to be the newest.
+    """When the current configuration was last confirmed to be the newest.
 
-    A node that is cut off from the store serves on with what it knows, but
-    not keyed requests for longer than the bound: a key that was taken away
-    meanwhile would still be accepted, and the holder of a stolen key served.
+    A node that is cut off from the store continues with the configuration that
+    it has, but accepts keys only up to the bound: a key revoked meanwhile would
+    otherwise still be accepted, and the holder of a stolen key be served.
 
-    Times are those of a clock that counts suspension, taken when the
-    confirming call was sent: whatever changed after that is not covered by
-    its answer.
+    Times are in seconds of a clock that also runs while the VM is suspended.
+    They are taken when the confirming call was sent, as its response does not
+    cover later changes.
 
     :param bound: seconds after which a revoked key must not be accepted.
+    :param confirmed: time of the newest confirmation.
     """
 
     bound: float
     confirmed: float = float('-inf')
 
     def confirm(self, sent: float) -> None:
-        """Note that a call sent at this time showed nothing newer."""
+        """Record that a call sent at this time found nothing newer."""
         self.confirmed = max(self.confirmed, sent)
 
     @property
     def oldest(self) -> float:
-        """Age at which keys are no longer accepted."""
+        """Age in seconds beyond which keys are not accepted."""
         return self.bound - REVOCATION_MARGIN_SECONDS
 
     def age(self, now: float) -> float:
-        """Seconds for which the configuration is unconfirmed."""
+        """Find the seconds since the configuration was last confirmed."""
         return now - self.confirmed
 
     def allows_keys(self, now: float) -> bool:
@@ -46,5 +48,5 @@
         return self.left(now) >= 0
 
     def left(self, now: float) -> float:
-        """Seconds for which keys may be accepted without another word."""
+        """Find the seconds for which keys are accepted if nothing confirms."""
         return self.oldest - self.age(now)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_table.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_table.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """A configuration, indexed for look-ups by each request.
+    """A configuration, indexed for the look-ups of each request.
 
-    :param routes: of each host, by prefix.
-    :param accounts: by key.
+    :param routes: routes by host name in lower case, then by path prefix.
+    :param accounts: client accounts by key.
     """
 
     configuration: Configuration
@@ -20,12 +20,13 @@
     accounts: Mapping[str, Account]
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route of a host with the longest prefix of a path.
+        """Find the route of a host with the longest matching path prefix.
 
-        Looking up each prefix of the path costs the depth of the path,
-        whatever the number of routes: hundreds may be added at once.
+        Each prefix of the path is looked up in turn, so the cost depends on
+        the depth of the path and not on the number of routes, which can grow
+        by hundreds at once.
 
-        :param host: as in the request; a port is left out of account.
+        :param host: host of the request; a port is ignored.
         """
         routes = self.routes.get(host.partition(':')[0].lower())
         if routes is None:
@@ -57,9 +58,9 @@
 
 
 def choose_service(route: Route, sample: float) -> str:
-    """Choose a service of a route by the weights of its splits.
+    """Choose a service of a route at random, by the weights of its splits.
 
-    :param sample: evenly distributed from 0 to 1.
+    :param sample: random number, uniformly distributed from 0 to 1.
     """
     left = sample * sum(split.weight for split in route.splits)
     for split in route.splits:
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
@@ -1,4 +1,4 @@
-"""A configuration as the operators wrote it, in the router's own words."""
+"""Types of the configuration, independent of the platform's format."""
 
 import enum
 from collections.abc import Mapping
@@ -8,23 +8,24 @@
 
 
 class Repeat(enum.Enum):
-    """What may be sent again after an attempt whose outcome is unknown."""
+    """Whether a request is sent again if an attempt has an unknown outcome."""
 
     ANY = 'any'
-    """The request is idempotent."""
+    """Always: the request is idempotent."""
 
     RESUME = 'resume'
-    """A stream that another upstream can continue after its last event."""
+    """As a stream that another upstream continues after its last event."""
 
     NEVER = 'never'
-    """At most one upstream may run it."""
+    """Never: at most one upstream may run it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A share of a route's requests.
+    """The fraction of a route's requests that one service gets.
 
-    :param weight: relative to the weights of the route's other shares.
+    :param service: name of the service.
+    :param weight: weight relative to those of the route's other splits.
     """
 
     service: str
@@ -33,17 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one kind and what they are promised.
+    """Requests with one host and path prefix, and how they are served.
 
+    :param host: host name of the requests.
     :param prefix: path prefix; begins and ends with a slash.
-    :param splits: the services that may run it, at least one.
+    :param splits: services that may run the requests, at least one.
+    :param repeat: whether a request may be sent again if the outcome of an
+        attempt is unknown.
     :param streaming: whether the answer is a stream of events.
-    :param max_attempts: upstreams that one request may be sent to.
-    :param timeout: seconds after which a request gets its final answer.
-    :param objective: seconds to the answer, or to the first event.
-    :param gap: the longest pause between events, in seconds.
-    :param priority: 0 goes first.
-    :param anonymous: whether it is served without a key.
+    :param max_attempts: number of upstreams that one request may be sent to.
+    :param timeout: seconds until a request gets its final answer, at most.
+    :param objective: target latency to the answer, or to the first event, in
+        seconds.
+    :param gap: longest pause between events, in seconds.
+    :param priority: 0 is served first.
+    :param anonymous: whether requests without a key are served.
     """
 
     name: str
@@ -62,10 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTerms:
-    """What upstreams of a service have in common.
+    """Configuration that all upstreams of a service have in common.
 
-    :param max_connections: that one upstream accepts from all nodes.
-    :param model: how its engines perform; nothing for a plain service.
+    :param health_path: path of an upstream's health check.
+    :param max_connections: connections that one upstream accepts from all
+        nodes together.
+    :param model: performance of its engines; ``None`` for a non-model
+        service.
     """
 
     name: str
@@ -78,7 +86,8 @@
 class Account:
     """A client account.
 
-    :param priority: goes before that of the route, where it has one.
+    :param keys: keys that identify its requests.
+    :param priority: if set, replaces the priority of the route.
     """
 
     name: str
@@ -88,7 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what a client may send, in bytes and seconds."""
+    """Bounds on a client's request, in bytes and seconds.
+
+    :param header_bytes: largest size of the headers.
+    :param body_bytes: largest size of the body.
+    :param header_seconds: longest time until the headers are complete.
+    :param idle_seconds: longest time without data on a connection.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -98,9 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of everything that operators decide.
+    """One version of all that operators configure.
 
-    :param version: grows with each change, in uneven steps.
+    :param version: grows with each change, not always by one.
+    :param services: services by name.
     """
 
     version: int
--- a/packages/ryelatch-core/src/ryelatch_core/shares/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Fair shares of the engines between client accounts."""
+"""Fair sharing of the engines between client accounts."""
 
 from ryelatch_core.shares._allocation import (
     Demand,
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
@@ -1,4 +1,4 @@
-"""Shares of the fleet's slots, worked out alike by every node."""
+"""Shares of the fleet's slots, which every node computes alike."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,7 +6,11 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """Requests that an account has running or waiting, by node."""
+    """Requests that an account has running or waiting, by node.
+
+    :param weight: the account's weight in fair sharing.
+    :param by_node: number of requests at each node.
+    """
 
     weight: float
     by_node: Mapping[str, int]
@@ -23,7 +27,9 @@
 ) -> dict[str, float]:
     """Share slots by weight, none beyond its demand (max-min fairness).
 
-    :returns: slots over the fleet for each account.
+    :param slots: requests that the whole fleet runs at once.
+    :param demands: demand of each account.
+    :returns: slots over the whole fleet for each account.
     """
     granted: dict[str, float] = {}
     left = slots
@@ -46,17 +52,23 @@
     nodes: int,
     reporting: int | None = None,
 ) -> dict[str, int]:
-    """Work out how many requests each account may run at one node.
+    """Compute how many requests each account may run at one node.
 
-    An account may always run its share of this node's own slice, so that one
-    that was idle, and of which peers have heard nothing, starts at once.
+    An account may always run its share of this node's own part of the slots,
+    so that an account that was idle, and that peers do not know of, starts at
+    once.
 
-    A node that hears nothing of some others must not hand out their part of
-    the slots too; it would show as engines with twice their slots after a
-    cut between nodes. So only the slices of the nodes heard are shared.
+    A node that is cut off from some others must not hand out their part of the
+    slots as well: after a network partition, engines would have requests for
+    twice their slots. So only the parts of the reporting nodes are shared.
 
-    :param nodes: nodes that share the slots.
-    :param reporting: nodes whose demand is known, this one included.
+    :param slots: requests that the whole fleet runs at once.
+    :param demands: demand of each account, as far as nodes have reported it.
+    :param node: name of this node.
+    :param nodes: number of nodes that share the slots.
+    :param reporting: number of nodes whose demand is known, this one included;
+        ``None`` if it is known for all.
+    :returns: largest number of running requests for each account.
     """
     known = nodes if reporting is None else min(reporting, nodes)
     granted = allocate_slots(slots * known / nodes, demands)
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
@@ -1,4 +1,4 @@
-"""Fair queue over client accounts, in virtual time of work done."""
+"""Fair queue over client accounts, ordered by virtual time."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,14 +6,17 @@
 from result import Err, Ok, Result
 
 RESERVED_SLOTS = 2
+"""Requests that an account may run even if all slots are taken."""
 
 
 @dataclass(frozen=True)
 class Ticket:
-    """A request that waits for its turn.
+    """A request that is waiting or running.
 
-    :param work: what it is expected to cost, in positions run.
-    :param expires: monotonic seconds at which waiting is pointless.
+    :param number: identifies the request at this node.
+    :param weight: weight of the account in fair sharing.
+    :param work: expected work, in token positions to compute.
+    :param expires: monotonic seconds at which the request stops waiting.
     """
 
     number: int
@@ -25,7 +28,11 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds of one client account at this node."""
+    """Bounds of one client account at this node.
+
+    :param concurrent: largest number of running requests.
+    :param queue: largest number of waiting requests.
+    """
 
     concurrent: int
     queue: int
@@ -33,9 +40,9 @@
 
 @dataclass(frozen=True)
 class Shed:
-    """Why a request is not let in.
+    """Reason why a request is rejected.
 
-    :param retry_after: seconds until there may be room.
+    :param retry_after: estimated seconds until the queue has room.
     """
 
     reason: str
@@ -44,11 +51,14 @@
 
 @dataclass
 class _AccountState:
-    """One client account's waiting and running requests."""
+    """Waiting and running requests of one client account.
+
+    :param virtual_finish: virtual time at which its last taken request finishes.
+    """
 
     waiting: deque[Ticket] = field(default_factory=deque)
     running: int = 0
-    finish: float = 0.0
+    virtual_finish: float = 0.0
     limits: Limits = Limits(1, 1)
     weight: float = 1
 
@@ -56,8 +66,8 @@
 class FairQueue:
     """Start-time fair queuing (Goyal et al., 1996) over client accounts.
 
-    A small account waits behind its own requests only, and an idle one banks
-    no credit: its next request starts at the virtual time of now.
+    A small account waits only behind its own requests. An idle account saves
+    up no credit: its next request starts at the current virtual time.
 
     :param slots: requests that may run at once.
     """
@@ -71,11 +81,11 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return sum(len(state.waiting) for state in self._accounts.values())
 
     def count_demand(self) -> dict[str, int]:
-        """Count requests running or waiting for each busy account."""
+        """Count running and waiting requests of each account that has any."""
         return {
             account: state.running + len(state.waiting)
             for account, state in self._accounts.items()
@@ -83,27 +93,28 @@
         }
 
     def offer(self, ticket: Ticket, limits: Limits) -> Result[None, Shed]:
-        """Let a request wait, or shed it at once."""
+        """Queue a request, or reject it if its account's queue is full."""
         state = self._accounts.setdefault(ticket.account, _AccountState())
         state.limits = limits
         state.weight = ticket.weight
         if len(state.waiting) >= limits.queue:
-            # A queue without a bound turns a surge into answers that all
-            # come too late; it shows as rising latency with no errors.
+            # With an unbounded queue, all answers come too late in a surge,
+            # which shows as rising latency without errors.
             return Err(Shed('queue-full', _estimate_wait(state)))
         if not (state.waiting or state.running):
-            state.finish = max(state.finish, self._virtual_time)
+            state.virtual_finish = max(state.virtual_finish, self._virtual_time)
         state.waiting.append(ticket)
         return Ok(None)
 
     def take(self, now: float) -> Ticket | None:
-        """Take the request whose account is furthest behind its share.
+        """Take the next request, of the account furthest behind its share.
 
-        :param now: monotonic seconds; expired requests are passed over and
-            come out of :meth:`expire`.
+        :param now: monotonic seconds; not used, as expired requests are taken
+            out by :meth:`expire` and :meth:`withdraw`.
+        :returns: ``None`` if no request may start.
         """
         ready = [
-            (state.finish, account)
+            (state.virtual_finish, account)
             for account, state in self._accounts.items()
             if state.waiting and self._may_start(account, state)
         ]
@@ -113,7 +124,7 @@
         state = self._accounts[account]
         ticket = state.waiting.popleft()
         self._virtual_time = max(self._virtual_time, start)
-        state.finish = (
+        state.virtual_finish = (
             max(start, self._virtual_time) + ticket.work / ticket.weight
         )
         state.running += 1
@@ -121,7 +132,10 @@
         return ticket
 
     def expire(self, now: float) -> list[Ticket]:
-        """Take out the requests that have waited too long."""
+        """Remove the requests that have waited too long.
+
+        :param now: monotonic seconds.
+        """
         expired = [
             ticket
             for state in self._accounts.values()
@@ -133,7 +147,10 @@
         return expired
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take out a waiting request; tell whether it still waited."""
+        """Remove a waiting request.
+
+        :returns: whether it was still waiting.
+        """
         state = self._accounts[ticket.account]
         if ticket not in state.waiting:
             return False
@@ -142,27 +159,30 @@
         return True
 
     def finish(self, ticket: Ticket, work: float) -> None:
-        """End a running request and charge what it really cost."""
+        """Finish a running request and charge the work that it really took.
+
+        :param work: token positions that were computed.
+        """
         state = self._accounts[ticket.account]
         state.running -= 1
         self.running -= 1
-        state.finish += (work - ticket.work) / ticket.weight
+        state.virtual_finish += (work - ticket.work) / ticket.weight
         self._forget_idle(ticket.account)
 
     def _may_start(self, account: str, state: _AccountState) -> bool:
         cap = min(state.limits.concurrent, self.caps.get(account, self.slots))
         if state.running >= cap:
             return False
-        # With every slot taken by a surge, an account that was idle would
-        # wait for the end of some long answer. Its floor lets it start at
-        # once; the engines then run a few streams more than their slots.
+        # With every slot taken in a surge, an account that was idle would
+        # wait until some long answer is finished. Its reserved slots let it
+        # start at once; engines then run a few streams more than their slots.
         return self.running < self.slots or state.running < RESERVED_SLOTS
 
     def _forget_idle(self, account: str) -> None:
         state = self._accounts[account]
         if (
             not (state.waiting or state.running)
-            and state.finish <= self._virtual_time
+            and state.virtual_finish <= self._virtual_time
         ):
             del self._accounts[account]
 
--- a/tests/core/retries/test_budget.py
+++ b/tests/core/retries/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of retries."""
+"""Budget of retries."""
 
 from ryelatch_core.retries import RetryBudget
 
@@ -6,7 +6,7 @@
 def test_retries_stay_a_share_of_requests() -> None:
     """All upstreams fail for a thousand requests.
 
-    Without a budget there would be two thousand retries more.
+    Without a budget there would be two thousand further attempts.
     """
     budget = RetryBudget(ratio=0.1, reserve=10)
     retries = 0
@@ -18,10 +18,10 @@
 
 
 def test_waiting_refills_a_part() -> None:
-    """Nothing is earned while all requests fail; some retries come free."""
+    """Without first attempts nothing is earned, but the rate adds retries."""
     budget = RetryBudget(ratio=0, reserve=4, rate=0.5)
     while budget.spend():
-        """Use up what was saved."""
+        """Spend all retries in reserve."""
     budget.refill(2)
     assert budget.spend()
     assert not budget.spend()
--- a/tests/core/routing/test_confirmation.py
+++ b/tests/core/routing/test_confirmation.py
@@ -1,24 +1,24 @@
-"""Keys are accepted only while nobody can have taken them away unseen."""
+"""Client keys are refused before an unseen revocation exceeds its bound."""
 
 from ryelatch_core.routing import Confirmation
 
 
 def test_keys_end_before_the_bound() -> None:
-    """A node is cut off; a key is taken away 5 s before its next request.
+    """A node is cut off; a key is revoked 5 s before its next request.
 
-    The node can't know. It must stop accepting keys a little sooner, for a
-    watch may have heard nothing for a second before it was cut.
+    The node is not notified. It must stop accepting keys a little earlier, as
+    its watch may have missed changes for a second before it was cut off.
     """
-    known = Confirmation(bound=5)
-    assert not known.allows_keys(0)
-    known.confirm(100)
-    assert known.allows_keys(103.6)
-    assert not known.allows_keys(103.8)
+    confirmation = Confirmation(bound=5)
+    assert not confirmation.allows_keys(0)
+    confirmation.confirm(100)
+    assert confirmation.allows_keys(103.6)
+    assert not confirmation.allows_keys(103.8)
 
 
 def test_older_confirmations_change_nothing() -> None:
-    """A slow answer to an earlier call arrives after a newer one."""
-    known = Confirmation(bound=5)
-    known.confirm(100)
-    known.confirm(97)
-    assert known.age(101) == 1
+    """A slow response to an earlier call arrives after a newer one."""
+    confirmation = Confirmation(bound=5)
+    confirmation.confirm(100)
+    confirmation.confirm(97)
+    assert confirmation.age(101) == 1
--- a/tests/core/routing/test_table.py
+++ b/tests/core/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Requests find their route, account and service."""
+"""Look-ups of the route, account and service of a request."""
 
 from collections import Counter
 
@@ -54,5 +54,5 @@
 
 def test_splits_follow_their_weights() -> None:
     route = _make_route('/')
-    drawn = Counter(choose_service(route, step / 1000) for step in range(1000))
-    assert drawn == {'old': 750, 'new': 250}
+    chosen = Counter(choose_service(route, step / 1000) for step in range(1000))
+    assert chosen == {'old': 750, 'new': 250}
--- a/tests/core/shares/test_queue.py
+++ b/tests/core/shares/test_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue."""
+"""Fair queue and slots of client accounts."""
 
 import pytest
 
@@ -19,9 +19,9 @@
 
 
 def test_small_account_waits_behind_its_own_only() -> None:
-    """A school sends five hundred requests, then a ward sends one.
+    """One account sends five hundred requests, then another one sends one.
 
-    In order of arrival the ward would wait for all of them.
+    In order of arrival, the second account would wait for all of them.
     """
     queue = FairQueue(1)
     for number in range(500):
@@ -39,7 +39,7 @@
 def test_shares_are_counted_in_work(huge: float) -> None:
     """One account sends few huge requests, the other many small ones.
 
-    Over time both get the same work, not the same number of requests.
+    Over time both get the same work done, not the same number of requests.
     """
     queue = FairQueue(1)
     done = {'few': 0.0, 'many': 0.0}
@@ -55,7 +55,7 @@
 
 
 def test_wrong_estimates_are_charged_afterwards() -> None:
-    """An account says one and takes ten; it is behind by the rest."""
+    """An account whose requests take ten times the estimate is charged it."""
     queue = FairQueue(1)
     for number in range(100):
         queue.offer(_ticket(number, 'liar'), _WIDE)
@@ -104,7 +104,7 @@
 def test_idle_account_starts_in_a_surge() -> None:
     """Every slot is taken by long answers of one account.
 
-    A ward that was idle asks once, and must not wait until one of them ends.
+    A request of an idle account must not wait until one of them is finished.
     """
     queue = FairQueue(4)
     for number in range(50):
@@ -118,7 +118,7 @@
 
 
 def test_node_that_is_cut_off_keeps_to_its_slice() -> None:
-    """A node hears of none of its seven peers, and one account surges.
+    """A node is cut off from all seven peers, and one account surges.
 
     It may hand out its own eighth of the slots and no more.
     """
@@ -151,7 +151,7 @@
 
 
 def test_caps_fit_the_fleet() -> None:
-    """All nodes work the caps out alike from the same news."""
+    """All nodes compute their caps from the same demands."""
     demands = {
         f'a{index}': Demand(1, {f'n{node}': 9 for node in range(8)})
         for index in range(10)
