--- a/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
@@ -53,7 +53,7 @@
 class _AccountState:
     """Waiting and running requests of one client account.
 
-    :param virtual_finish: virtual time at which its last taken request finishes.
+    :param virtual_finish: virtual time at which its last started request ends.
     """
 
     waiting: deque[Ticket] = field(default_factory=deque)
