--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -56,8 +56,8 @@
     :param bound: seconds for which a replica that leaves may get requests.
     :param oldest: largest age of the list, in seconds, while the store
         responds.
-    :param kept: seconds for which a missing entry stays in use, counted from
-        when the last call without a response was sent to the store.
+    :param kept: seconds for which a missing entry stays in use, from when
+        the last call without a response was sent to the store.
     """
 
     bound: float
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -6,7 +6,7 @@
     Step,
 )
 from ryelatch_core.quarantine._causes import MOST_ENDS
-from ryelatch_core.quarantine._crashes import (
+from ryelatch_core.quarantine._case import (
     MAX_INCARNATIONS,
     NO_CASE,
     Case,
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -16,8 +16,8 @@
     RETENTION_SECONDS,
     list_causes,
 )
-from ryelatch_core.quarantine._crash_state import CrashState
-from ryelatch_core.quarantine._crashes import (
+from ryelatch_core.quarantine._known import CrashState
+from ryelatch_core.quarantine._case import (
     NO_CASE,
     Case,
     Manner,
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_crash_state.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_known.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine._crashes import NO_CASE, Case, StoredCase
+from ryelatch_core.quarantine._case import NO_CASE, Case, StoredCase
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
@@ -39,8 +39,8 @@
     :param host: host name of the requests.
     :param prefix: path prefix; begins and ends with a slash.
     :param splits: services that may run the requests, at least one.
-    :param repeat: whether a request may be sent again if the outcome of an
-        attempt is unknown.
+    :param repeat: whether a request may be sent again if an attempt's
+        outcome is unknown.
     :param streaming: whether the answer is a stream of events.
     :param max_attempts: number of upstreams that one request may be sent to.
     :param timeout: seconds until a request gets its final answer, at most.
