--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -46,7 +46,7 @@
 """Time after an outage in which entries that expired in it reappear."""
 
 MIN_AGE_BOUND_SECONDS = 0.8
-"""Smallest bound on the age of the list, as each call to the store costs."""
+"""Smallest bound on the age of the list; each refresh costs a store call."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -174,6 +174,7 @@
         return member is not None and member.leaving
 
     def _count_missing(self, name: str) -> bool:
+        """Count a list without a member; tell whether the limit is reached."""
         member = self.members[name]
         if member.missing + 1 < _MAX_MISSING_LISTS:
             self.members[name] = replace(member, missing=member.missing + 1)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -5,7 +5,6 @@
     Book,
     Step,
 )
-from ryelatch_core.quarantine._causes import MOST_ENDS
 from ryelatch_core.quarantine._case import (
     MAX_INCARNATIONS,
     NO_CASE,
@@ -13,6 +12,7 @@
     Manner,
     StoredCase,
 )
+from ryelatch_core.quarantine._causes import MOST_ENDS
 from ryelatch_core.quarantine._digest import digest_request
 
 __all__ = [
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -11,18 +11,18 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelatch_core.quarantine._causes import (
-    MOST_ENDS,
-    RETENTION_SECONDS,
-    list_causes,
-)
-from ryelatch_core.quarantine._known import CrashState
 from ryelatch_core.quarantine._case import (
     NO_CASE,
     Case,
     Manner,
     StoredCase,
 )
+from ryelatch_core.quarantine._causes import (
+    MOST_ENDS,
+    RETENTION_SECONDS,
+    list_causes,
+)
+from ryelatch_core.quarantine._known import CrashState
 
 FRESH_SECONDS = 0.5
 """Time after its first event in which a request may be the cause of a crash.
@@ -91,18 +91,18 @@
 
     def __init__(self, jitter: float) -> None:
         self._jitter = jitter
-        self._known: OrderedDict[str, CrashState] = OrderedDict()
+        self._states: OrderedDict[str, CrashState] = OrderedDict()
         self._cleared: OrderedDict[str, float] = OrderedDict()
         self._over_threshold: set[str] = set()
         self._refused: dict[str, Case] = {}
 
     def __len__(self) -> int:
         """Count the requests under which replicas have crashed."""
-        return len(self._known)
+        return len(self._states)
 
     @property
     def refused(self) -> dict[str, Case]:
-        """Requests refused since the last evaluation, with their crashes."""
+        """Requests refused as of the last evaluation, with their crashes."""
         return dict(self._refused)
 
     def find_refused(self, digest: str) -> Case | None:
@@ -117,12 +117,12 @@
         return any(
             self._is_cleared(digest, now)
             or not known.shared.covers(known.local)
-            for digest, known in self._known.items()
+            for digest, known in self._states.items()
         )
 
     def is_suspect(self, digest: str, now: float) -> bool:
         """Whether a request may have caused the crash of a replica."""
-        return digest in self._known and not self._is_cleared(digest, now)
+        return digest in self._states and not self._is_cleared(digest, now)
 
     def note_end(
         self,
@@ -136,7 +136,7 @@
         :param incarnation: name of the replica's incarnation.
         :returns: whether the crash is new and counts against the request.
         """
-        known = self._known.get(digest, CrashState())
+        known = self._states.get(digest, CrashState())
         seen = NO_CASE.add(incarnation, phase)
         if self._is_cleared(digest, now) or known.case.covers(seen):
             return False
@@ -157,11 +157,11 @@
         self._cleared.move_to_end(digest)
         if len(self._cleared) > MAX_CLEARED_REQUESTS:
             self._cleared.popitem(last=False)
-        known = self._known.get(digest)
+        known = self._states.get(digest)
         if known is None:
             return False
         if known.stored is None:
-            del self._known[digest]
+            del self._states[digest]
         else:
             self._update(digest, replace(known, local=NO_CASE))
         self.judge(now)
@@ -169,7 +169,7 @@
 
     def put(self, stored: StoredCase, now: float) -> None:
         """Apply what the store holds about a request."""
-        known = self._known.get(stored.digest, CrashState())
+        known = self._states.get(stored.digest, CrashState())
         if known.stored and known.stored.revision >= stored.revision:
             return
         self._update(stored.digest, replace(known, stored=stored, changed=now))
@@ -177,7 +177,7 @@
 
     def remove(self, digest: str, now: float) -> None:
         """Apply the deletion of an object: the request is admitted again."""
-        self._known.pop(digest, None)
+        self._states.pop(digest, None)
         self.judge(now)
 
     def replace(self, listed: Iterable[StoredCase], now: float) -> None:
@@ -188,18 +188,18 @@
         crash three more replicas before it is refused again.
         """
         fresh = {stored.digest: stored for stored in listed}
-        for digest, known in tuple(self._known.items()):
+        for digest, known in tuple(self._states.items()):
             if digest in fresh or known.stored is None:
                 continue
             if digest in self._refused:
                 due = now + REWRITE_SPREAD_SECONDS * self._jitter
                 self._update(digest, CrashState(known.case, None, now, due))
             elif known.local == NO_CASE:
-                del self._known[digest]
+                del self._states[digest]
             else:
                 self._update(digest, replace(known, stored=None))
         for stored in fresh.values():
-            known = self._known.get(stored.digest, CrashState())
+            known = self._states.get(stored.digest, CrashState())
             self._update(
                 stored.digest, replace(known, stored=stored, changed=now)
             )
@@ -207,24 +207,24 @@
 
     def judge(self, now: float) -> None:
         """Recompute which requests are refused."""
-        self._over_threshold &= self._known.keys()
+        self._over_threshold &= self._states.keys()
         suspects = [
             digest
             for digest in self._over_threshold
             if not self._is_cleared(digest, now)
         ]
-        self._refused = dict(list_causes(suspects, self._known, now))
+        self._refused = dict(list_causes(suspects, self._states, now))
 
     def list_due(self, now: float) -> list[Step]:
         """List the writes that are due now, and drop expired requests."""
         writes = [
             write
-            for digest, known in self._known.items()
+            for digest, known in self._states.items()
             if (write := self._find_write(digest, known, now))
         ]
-        for digest, known in tuple(self._known.items()):
+        for digest, known in tuple(self._states.items()):
             if known.stored is None and self._has_expired(digest, known, now):
-                del self._known[digest]
+                del self._states[digest]
         return writes
 
     def _find_write(
@@ -252,14 +252,14 @@
 
     def _update(self, digest: str, known: CrashState) -> None:
         """Set a request's state, and drop the oldest that is not refused."""
-        self._known[digest] = known
-        self._known.move_to_end(digest)
+        self._states[digest] = known
+        self._states.move_to_end(digest)
         if len(known.case.lives) >= MOST_ENDS:
             self._over_threshold.add(digest)
-        if len(self._known) > MAX_TRACKED_REQUESTS:
+        if len(self._states) > MAX_TRACKED_REQUESTS:
             oldest = (
                 tracked
-                for tracked in self._known
+                for tracked in self._states
                 if tracked not in self._refused
             )
-            del self._known[next(oldest, digest)]
+            del self._states[next(oldest, digest)]
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -3,8 +3,8 @@
 import itertools
 from collections.abc import Iterable, Iterator, Mapping
 
-from ryelatch_core.quarantine._known import CrashState
 from ryelatch_core.quarantine._case import Case
+from ryelatch_core.quarantine._known import CrashState
 
 MOST_ENDS = 3
 """Crashes under a request at which it is refused.
@@ -89,8 +89,8 @@
 
 
 def _list_begun(states: Iterable[CrashState]) -> frozenset[str]:
-    cases = (known.case.begun for known in states)
-    return frozenset(itertools.chain.from_iterable(cases))
+    groups = (known.case.begun for known in states)
+    return frozenset(itertools.chain.from_iterable(groups))
 
 
 def _find_refusal_seconds(case: Case) -> float:
--- a/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
+++ b/packages/ryelatch-core/src/ryelatch_core/retries/_budget.py
@@ -55,7 +55,10 @@
         self._left = min(self._reserve, self._left + self._rate * seconds)
 
     def spend(self) -> bool:
-        """Spend one retry, if any is left; tell whether there was one."""
+        """Spend one retry, if one is left.
+
+        :returns: whether the retry may be made.
+        """
         if self._left < 1:
             return False
         self._left -= 1
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limiters.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limiters.py
@@ -12,8 +12,8 @@
     """Rank the nodes that may grant the permits of a replica, best first.
 
     This is rendezvous hashing: nodes with the same list compute the same order
-    for a replica, and a node that joins or goes changes the first place of few
-    replicas only.
+    for a replica, and a node that joins or leaves changes the first place of
+    few replicas only.
 
     :param replica: name of the replica's incarnation.
     """
