--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -25,8 +25,8 @@
     """A VM and what each source reports about it.
 
     :param announced: whether the VM itself has announced that it leaves.
-    :param reported_by: names of peers that report from a source of their own
-        that it leaves.
+    :param reported_by: names of peers that learned, from the VM or the
+        platform, that it leaves.
     :param missing: number of consecutive lists without the VM.
     """
 
@@ -126,9 +126,9 @@
     def apply_peer(self, peer: str, names: Iterable[str]) -> tuple[str, ...]:
         """Apply a peer's report of all VMs that it knows to be leaving.
 
-        A peer reports only what the VM or the platform told it, not what its
-        peers report: two peers would keep confirming each other after the VM
-        has come back.
+        A peer reports only what it learned from the VM or the platform, not
+        what other peers report: two peers would keep confirming each other
+        after the VM has come back.
 
         :returns: names of VMs that were not known to be leaving.
         """
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -116,8 +116,8 @@
         """Whether anything has to be written to the store, now or later."""
         return any(
             self._is_cleared(digest, now)
-            or not known.shared.covers(known.local)
-            for digest, known in self._states.items()
+            or not state.shared.covers(state.local)
+            for digest, state in self._states.items()
         )
 
     def is_suspect(self, digest: str, now: float) -> bool:
@@ -136,15 +136,15 @@
         :param incarnation: name of the replica's incarnation.
         :returns: whether the crash is new and counts against the request.
         """
-        known = self._states.get(digest, CrashState())
+        state = self._states.get(digest, CrashState())
         seen = NO_CASE.add(incarnation, phase)
-        if self._is_cleared(digest, now) or known.case.covers(seen):
+        if self._is_cleared(digest, now) or state.case.covers(seen):
             return False
-        again = bool(known.case.lives)
+        again = bool(state.case.lives)
         wait = 0 if again else REPORT_DELAY_SECONDS * (0.5 + self._jitter)
-        due = min(known.due or now + wait, now + wait)
-        local = known.local.add(incarnation, phase)
-        self._update(digest, replace(known, local=local, changed=now, due=due))
+        due = min(state.due or now + wait, now + wait)
+        local = state.local.add(incarnation, phase)
+        self._update(digest, replace(state, local=local, changed=now, due=due))
         self.judge(now)
         return True
 
@@ -157,22 +157,22 @@
         self._cleared.move_to_end(digest)
         if len(self._cleared) > MAX_CLEARED_REQUESTS:
             self._cleared.popitem(last=False)
-        known = self._states.get(digest)
-        if known is None:
+        state = self._states.get(digest)
+        if state is None:
             return False
-        if known.stored is None:
+        if state.stored is None:
             del self._states[digest]
         else:
-            self._update(digest, replace(known, local=NO_CASE))
+            self._update(digest, replace(state, local=NO_CASE))
         self.judge(now)
         return True
 
     def put(self, stored: StoredCase, now: float) -> None:
         """Apply what the store holds about a request."""
-        known = self._states.get(stored.digest, CrashState())
-        if known.stored and known.stored.revision >= stored.revision:
+        state = self._states.get(stored.digest, CrashState())
+        if state.stored and state.stored.revision >= stored.revision:
             return
-        self._update(stored.digest, replace(known, stored=stored, changed=now))
+        self._update(stored.digest, replace(state, stored=stored, changed=now))
         self.judge(now)
 
     def remove(self, digest: str, now: float) -> None:
@@ -188,20 +188,20 @@
         crash three more replicas before it is refused again.
         """
         fresh = {stored.digest: stored for stored in listed}
-        for digest, known in tuple(self._states.items()):
-            if digest in fresh or known.stored is None:
+        for digest, state in tuple(self._states.items()):
+            if digest in fresh or state.stored is None:
                 continue
             if digest in self._refused:
                 due = now + REWRITE_SPREAD_SECONDS * self._jitter
-                self._update(digest, CrashState(known.case, None, now, due))
-            elif known.local == NO_CASE:
+                self._update(digest, CrashState(state.case, None, now, due))
+            elif state.local == NO_CASE:
                 del self._states[digest]
             else:
-                self._update(digest, replace(known, stored=None))
+                self._update(digest, replace(state, stored=None))
         for stored in fresh.values():
-            known = self._states.get(stored.digest, CrashState())
+            state = self._states.get(stored.digest, CrashState())
             self._update(
-                stored.digest, replace(known, stored=stored, changed=now)
+                stored.digest, replace(state, stored=stored, changed=now)
             )
         self.judge(now)
 
@@ -219,42 +219,42 @@
         """List the writes that are due now, and drop expired requests."""
         writes = [
             write
-            for digest, known in self._states.items()
-            if (write := self._find_write(digest, known, now))
+            for digest, state in self._states.items()
+            if (write := self._find_write(digest, state, now))
         ]
-        for digest, known in tuple(self._states.items()):
-            if known.stored is None and self._has_expired(digest, known, now):
+        for digest, state in tuple(self._states.items()):
+            if state.stored is None and self._has_expired(digest, state, now):
                 del self._states[digest]
         return writes
 
     def _find_write(
-        self, digest: str, known: CrashState, now: float
+        self, digest: str, state: CrashState, now: float
     ) -> Step | None:
-        stored = known.stored
+        stored = state.stored
         cleared = self._is_cleared(digest, now)
-        if cleared or self._has_expired(digest, known, now):
+        if cleared or self._has_expired(digest, state, now):
             return Step(digest, None, stored.revision) if stored else None
-        if now < known.due or known.shared.covers(known.local):
+        if now < state.due or state.shared.covers(state.local):
             return None
-        return Step(digest, known.case, stored.revision if stored else 0)
+        return Step(digest, state.case, stored.revision if stored else 0)
 
     def _is_cleared(self, digest: str, now: float) -> bool:
         ran = self._cleared.get(digest)
         return ran is not None and now - ran < CLEARED_SECONDS
 
-    def _has_expired(self, digest: str, known: CrashState, now: float) -> bool:
+    def _has_expired(self, digest: str, state: CrashState, now: float) -> bool:
         lifetime = SUSPECT_SECONDS
         if digest in self._over_threshold:
             lifetime = RETENTION_SECONDS
-        if known.local == NO_CASE:
+        if state.local == NO_CASE:
             lifetime += CLEANUP_DELAY_SECONDS * (0.5 + self._jitter)
-        return now - known.changed > lifetime
+        return now - state.changed > lifetime
 
-    def _update(self, digest: str, known: CrashState) -> None:
+    def _update(self, digest: str, state: CrashState) -> None:
         """Set a request's state, and drop the oldest that is not refused."""
-        self._states[digest] = known
+        self._states[digest] = state
         self._states.move_to_end(digest)
-        if len(known.case.lives) >= MOST_ENDS:
+        if len(state.case.lives) >= MOST_ENDS:
             self._over_threshold.add(digest)
         if len(self._states) > MAX_TRACKED_REQUESTS:
             oldest = (
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -55,11 +55,11 @@
     )
     begun = _list_begun(states.values()) if ranked else frozenset()
     explained: set[str] = set()
-    for digest, known in ranked:
-        if _is_cause(known, now, frozenset(explained), begun):
-            explained |= known.case.lives
-            if now - known.changed < _find_refusal_seconds(known.case):
-                yield digest, known.case
+    for digest, state in ranked:
+        if _is_cause(state, now, frozenset(explained), begun):
+            explained |= state.case.lives
+            if now - state.changed < _find_refusal_seconds(state.case):
+                yield digest, state.case
 
 
 def _rank(entry: tuple[str, CrashState]) -> tuple[int, int, str]:
@@ -68,7 +68,7 @@
 
 
 def _is_cause(
-    known: CrashState,
+    state: CrashState,
     now: float,
     explained: frozenset[str],
     begun_anywhere: frozenset[str],
@@ -79,17 +79,17 @@
     that had begun to run there. The node that sent the latter may not have
     reported it yet, so waiting requests are considered only after a delay.
     """
-    begun = known.case.begun - explained
+    begun = state.case.begun - explained
     if len(begun) >= MOST_ENDS:
         return True
-    if now - known.changed < SETTLE_SECONDS:
+    if now - state.changed < SETTLE_SECONDS:
         return False
-    unexplained = known.case.waiting - explained - begun_anywhere
+    unexplained = state.case.waiting - explained - begun_anywhere
     return len(begun | unexplained) >= MOST_ENDS
 
 
 def _list_begun(states: Iterable[CrashState]) -> frozenset[str]:
-    groups = (known.case.begun for known in states)
+    groups = (state.case.begun for state in states)
     return frozenset(itertools.chain.from_iterable(groups))
 
 
