--- a/tests/core/membership/test_departure.py
+++ b/tests/core/membership/test_departure.py
@@ -17,9 +17,9 @@
     steady: float,
 ) -> None:
     """A request chosen from the oldest list allowed arrives in time."""
-    terms = reckon_terms(bound, steady)
-    assert terms.oldest + SEND_SECONDS < bound
-    assert terms.oldest > ANSWER_SECONDS
+    bounds = reckon_terms(bound, steady)
+    assert bounds.oldest + SEND_SECONDS < bound
+    assert bounds.oldest > ANSWER_SECONDS
 
 
 @pytest.mark.parametrize(('bound', 'steady'), _BOUNDS)
@@ -32,8 +32,8 @@
     If it was removed just before the outage, its replica may be leaving. It is
     kept no longer than the time for which the bound does not hold.
     """
-    terms = reckon_terms(bound, steady)
-    assert terms.kept + SEND_SECONDS < steady
+    bounds = reckon_terms(bound, steady)
+    assert bounds.kept + SEND_SECONDS < steady
 
 
 def test_live_replicas_have_time_to_come_back() -> None:
