--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -176,7 +176,7 @@
         app.find('log', LineLog),
         app.clock,
         app.find('quarantine-store', QuarantineStore),
-        Book(app.chance.random()),
+        Book(app.random_source.random()),
     )
     app.add(
         Service(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
+class AdmittedRequest:
     """What a client asks for.
 
     :param target: path and query, byte for byte.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -167,9 +167,9 @@
         raw = [(name.lower(), entry) for name, entry in response.raw_headers]
         terms = self._wire.read_answer(response.status, raw)
         if terms.identity != identity and (terms.identity or terms.signed):
-            raise SendError(SendErrorKind.SPOILED, 'answer to another request')
+            raise SendError(SendErrorKind.INVALID, 'answer to another request')
         if terms.encoded:
-            raise SendError(SendErrorKind.SPOILED, 'encoded body')
+            raise SendError(SendErrorKind.INVALID, 'encoded body')
         return Answer(response, terms)
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from ryelatch_core.events import CostBook, LineLog, catalogue
+from ryelatch_core.events import UsageTracker, LineLog, catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
@@ -50,7 +50,7 @@
     startup: RelayStartup
     news: News
     lines: PermitLines
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     limiter: Limiter = field(init=False)
     _backoffs: BackoffBook = field(default_factory=BackoffBook)
     _closed: dict[str, float] = field(default_factory=dict)
@@ -210,6 +210,6 @@
         app.find('startup', RelayStartup),
         news,
         PermitLines(log, app.clock, news),
-        app.find('costs', CostBook),
+        app.find('costs', UsageTracker),
     )
     app.add(Service('throttle', throttle, ('news',), stop=throttle.stop))
--- a/tests/node/relay/test_silence.py
+++ b/tests/node/relay/test_silence.py
@@ -63,13 +63,13 @@
     view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
     for stage in _STAGES:
         view.put(stage.replica)
-    parts: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         clock=clock,
         log=log,
         replicas=view,
         orders=SimpleNamespace(reach=reach),
     )
-    return PathChecks(parts), view
+    return PathChecks(context), view
 
 
 def _play(answer: _Answer, *, late: float = 0) -> set[str]:
