--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -24,7 +24,7 @@
 NEVER = float('-inf')
 """Time of the last call without a response, if there was no such call."""
 
-SEND_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 """Timeout of a new connection to an upstream.
 
 A VM that is up accepts it within two milliseconds, also from another zone. One
@@ -32,7 +32,7 @@
 elsewhere.
 """
 
-ANSWER_SECONDS = 0.5
+STORE_OVERDUE_SECONDS = 0.5
 """How long a response of the store may be overdue until it counts as lost.
 
 The store responds in 4 ms, at slow times in 240 ms. Whatever waits for it, the
@@ -50,32 +50,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DepartureTerms:
+class DepartureBounds:
     """Time limits that keep requests from reaching a replica too late.
 
     :param bound: seconds for which a replica that leaves may get requests.
-    :param oldest: largest age of the list, in seconds, while the store
+    :param max_age: largest age of the list, in seconds, while the store
         responds.
-    :param kept: seconds for which a missing entry stays in use, from when
+    :param retention: seconds for which a missing entry stays in use, from when
         the last call without a response was sent to the store.
     """
 
     bound: float
-    oldest: float
-    kept: float
+    max_age: float
+    retention: float
 
 
-def reckon_terms(bound: float, steady: float) -> DepartureTerms:
+def compute_departure_bounds(bound: float, steady: float) -> DepartureBounds:
     """Compute the time limits from the platform's bounds.
 
     :param bound: seconds for which a replica that leaves may get requests.
     :param steady: seconds after an outage for which a node is not held to
         that bound.
     """
-    delivery = SEND_SECONDS + MARGIN_SECONDS
-    return DepartureTerms(
+    delivery = CONNECT_TIMEOUT_SECONDS + MARGIN_SECONDS
+    return DepartureBounds(
         bound=bound,
-        oldest=max(bound - delivery, MIN_AGE_BOUND_SECONDS),
+        max_age=max(bound - delivery, MIN_AGE_BOUND_SECONDS),
         # The outage may have lasted until the call timed out.
-        kept=max(0, min(ANSWER_SECONDS + RETURN_SECONDS, steady - delivery)),
+        retention=max(
+            0, min(STORE_OVERDUE_SECONDS + RETURN_SECONDS, steady - delivery)
+        ),
     )
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
@@ -10,7 +10,7 @@
 TTL_SECONDS = 6.0
 """Time after which a lease that is not renewed may be taken."""
 
-ORDER_SECONDS = 2.0
+COMMAND_TIMEOUT_SECONDS = 2.0
 """Timeout of a command that is sent to an engine under a lease."""
 
 
@@ -52,7 +52,7 @@
     return None
 
 
-def may_order(held_since: float, taken: float, now: float) -> bool:
+def may_send_command(held_since: float, taken: float, now: float) -> bool:
     """Decide whether the holder of a lease may send a command now.
 
     Some engines ignore fencing numbers, so a command must be over before
@@ -63,8 +63,8 @@
         monotonic seconds.
     :param taken: when this holder first took the lease, in monotonic seconds.
     """
-    safe_until = held_since + TTL_SECONDS - ORDER_SECONDS
-    return taken + ORDER_SECONDS <= now < safe_until
+    safe_until = held_since + TTL_SECONDS - COMMAND_TIMEOUT_SECONDS
+    return taken + COMMAND_TIMEOUT_SECONDS <= now < safe_until
 
 
 def release_lease(lease: Lease) -> Lease:
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -106,7 +106,7 @@
             del self.members[name]
         return RosterChange(tuple(joined), left, tuple(leaving))
 
-    def note_leaving(self, name: str) -> bool:
+    def record_leaving(self, name: str) -> bool:
         """Record a VM's announcement that it leaves.
 
         :returns: whether the VM was not known to be leaving.
@@ -117,7 +117,7 @@
         self.members[name] = replace(member, announced=True)
         return not member.leaving
 
-    def note_staying(self, name: str) -> None:
+    def record_staying(self, name: str) -> None:
         """Record a VM's announcement, after a restart, that it stays."""
         member = self.members.get(name)
         if member is not None:
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_watchers.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-FEWEST_NODES = 20
+MIN_SHARING_NODES = 20
 """Size of a fleet, in nodes, below which each node watches for itself.
 
 Nodes that watch for others call the store more often, so that the others soon
@@ -78,7 +78,7 @@
 
 def shares_watches(nodes: Iterable[NodeEntry]) -> bool:
     """Whether the fleet is so large that some nodes watch for others."""
-    return len([node for node in nodes if node.address]) >= FEWEST_NODES
+    return len([node for node in nodes if node.address]) >= MIN_SHARING_NODES
 
 
 def watches_for_others(
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -1,29 +1,29 @@
 """Requests that crash replicas, and how they are recognized and refused."""
 
 from ryelatch_core.quarantine._book import (
-    FRESH_SECONDS,
-    Book,
-    Step,
+    CRASH_WINDOW_SECONDS,
+    CrashTracker,
+    StoreWrite,
 )
 from ryelatch_core.quarantine._case import (
     MAX_INCARNATIONS,
-    NO_CASE,
-    Case,
-    Manner,
-    StoredCase,
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
 )
-from ryelatch_core.quarantine._causes import MOST_ENDS
+from ryelatch_core.quarantine._causes import CRASH_THRESHOLD
 from ryelatch_core.quarantine._digest import digest_request
 
 __all__ = [
-    'FRESH_SECONDS',
+    'CRASH_THRESHOLD',
+    'CRASH_WINDOW_SECONDS',
     'MAX_INCARNATIONS',
-    'MOST_ENDS',
-    'NO_CASE',
-    'Book',
-    'Case',
-    'Manner',
-    'Step',
-    'StoredCase',
+    'NO_CRASHES',
+    'CrashTracker',
+    'Crashes',
+    'RequestPhase',
+    'StoreWrite',
+    'StoredCrashes',
     'digest_request',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass, replace
 
 from ryelatch_core.quarantine._case import (
-    NO_CASE,
-    Case,
-    Manner,
-    StoredCase,
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
 )
 from ryelatch_core.quarantine._causes import (
-    MOST_ENDS,
+    CRASH_THRESHOLD,
     RETENTION_SECONDS,
     list_causes,
 )
 from ryelatch_core.quarantine._known import CrashState
 
-FRESH_SECONDS = 0.5
+CRASH_WINDOW_SECONDS = 0.5
 """Time after its first event in which a request may be the cause of a crash.
 
 A request that crashes replicas does so when it begins to run. One that has run
@@ -68,21 +68,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class StoreWrite:
     """A conditional write, or deletion, of a request's object in the store.
 
     :param digest: digest of the request; names the object.
-    :param case: crashes to write; ``None`` deletes the object.
+    :param crashes: crashes to write; ``None`` deletes the object.
     :param revision: revision that the object must have; 0 if it must not
         exist.
     """
 
     digest: str
-    case: Case | None
+    crashes: Crashes | None
     revision: int
 
 
-class Book:
+class CrashTracker:
     """Crashes that this node and others have seen, by digest of the request.
 
     :param jitter: from 0 to 1; differs from node to node, so that they do
@@ -94,25 +94,25 @@
         self._states: OrderedDict[str, CrashState] = OrderedDict()
         self._cleared: OrderedDict[str, float] = OrderedDict()
         self._over_threshold: set[str] = set()
-        self._refused: dict[str, Case] = {}
+        self._refused: dict[str, Crashes] = {}
 
     def __len__(self) -> int:
         """Count the requests under which replicas have crashed."""
         return len(self._states)
 
     @property
-    def refused(self) -> dict[str, Case]:
+    def refused(self) -> dict[str, Crashes]:
         """Requests refused as of the last evaluation, with their crashes."""
         return dict(self._refused)
 
-    def find_refused(self, digest: str) -> Case | None:
+    def find_refused(self, digest: str) -> Crashes | None:
         """Find the crashes for which a request is refused.
 
         :returns: ``None`` if the request is not refused.
         """
         return self._refused.get(digest)
 
-    def has_news(self, now: float) -> bool:
+    def has_pending_writes(self, now: float) -> bool:
         """Whether anything has to be written to the store, now or later."""
         return any(
             self._is_cleared(digest, now)
@@ -124,11 +124,11 @@
         """Whether a request may have caused the crash of a replica."""
         return digest in self._states and not self._is_cleared(digest, now)
 
-    def note_end(
+    def record_crash(
         self,
         digest: str,
         incarnation: str,
-        phase: Manner,
+        phase: RequestPhase,
         now: float,
     ) -> bool:
         """Record that a replica has crashed under a request.
@@ -137,18 +137,18 @@
         :returns: whether the crash is new and counts against the request.
         """
         state = self._states.get(digest, CrashState())
-        seen = NO_CASE.add(incarnation, phase)
-        if self._is_cleared(digest, now) or state.case.covers(seen):
+        seen = NO_CRASHES.add(incarnation, phase)
+        if self._is_cleared(digest, now) or state.crashes.covers(seen):
             return False
-        again = bool(state.case.lives)
+        again = bool(state.crashes.incarnations)
         wait = 0 if again else REPORT_DELAY_SECONDS * (0.5 + self._jitter)
         due = min(state.due or now + wait, now + wait)
         local = state.local.add(incarnation, phase)
         self._update(digest, replace(state, local=local, changed=now, due=due))
-        self.judge(now)
+        self.evaluate(now)
         return True
 
-    def note_run(self, digest: str, now: float) -> bool:
+    def record_run(self, digest: str, now: float) -> bool:
         """Record that a request has run and its replica has not crashed.
 
         :returns: whether crashes were recorded for the request.
@@ -163,24 +163,24 @@
         if state.stored is None:
             del self._states[digest]
         else:
-            self._update(digest, replace(state, local=NO_CASE))
-        self.judge(now)
+            self._update(digest, replace(state, local=NO_CRASHES))
+        self.evaluate(now)
         return True
 
-    def put(self, stored: StoredCase, now: float) -> None:
+    def put(self, stored: StoredCrashes, now: float) -> None:
         """Apply what the store holds about a request."""
         state = self._states.get(stored.digest, CrashState())
         if state.stored and state.stored.revision >= stored.revision:
             return
         self._update(stored.digest, replace(state, stored=stored, changed=now))
-        self.judge(now)
+        self.evaluate(now)
 
     def remove(self, digest: str, now: float) -> None:
         """Apply the deletion of an object: the request is admitted again."""
         self._states.pop(digest, None)
-        self.judge(now)
+        self.evaluate(now)
 
-    def replace(self, listed: Iterable[StoredCase], now: float) -> None:
+    def replace(self, listed: Iterable[StoredCrashes], now: float) -> None:
         """Apply a complete list of what the store holds.
 
         Missing objects of refused requests are written again: the store may
@@ -193,8 +193,8 @@
                 continue
             if digest in self._refused:
                 due = now + REWRITE_SPREAD_SECONDS * self._jitter
-                self._update(digest, CrashState(state.case, None, now, due))
-            elif state.local == NO_CASE:
+                self._update(digest, CrashState(state.crashes, None, now, due))
+            elif state.local == NO_CRASHES:
                 del self._states[digest]
             else:
                 self._update(digest, replace(state, stored=None))
@@ -203,9 +203,9 @@
             self._update(
                 stored.digest, replace(state, stored=stored, changed=now)
             )
-        self.judge(now)
+        self.evaluate(now)
 
-    def judge(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Recompute which requests are refused."""
         self._over_threshold &= self._states.keys()
         suspects = [
@@ -215,7 +215,7 @@
         ]
         self._refused = dict(list_causes(suspects, self._states, now))
 
-    def list_due(self, now: float) -> list[Step]:
+    def list_due_writes(self, now: float) -> list[StoreWrite]:
         """List the writes that are due now, and drop expired requests."""
         writes = [
             write
@@ -229,14 +229,16 @@
 
     def _find_write(
         self, digest: str, state: CrashState, now: float
-    ) -> Step | None:
+    ) -> StoreWrite | None:
         stored = state.stored
         cleared = self._is_cleared(digest, now)
         if cleared or self._has_expired(digest, state, now):
-            return Step(digest, None, stored.revision) if stored else None
+            return StoreWrite(digest, None, stored.revision) if stored else None
         if now < state.due or state.shared.covers(state.local):
             return None
-        return Step(digest, state.case, stored.revision if stored else 0)
+        return StoreWrite(
+            digest, state.crashes, stored.revision if stored else 0
+        )
 
     def _is_cleared(self, digest: str, now: float) -> bool:
         ran = self._cleared.get(digest)
@@ -246,7 +248,7 @@
         lifetime = SUSPECT_SECONDS
         if digest in self._over_threshold:
             lifetime = RETENTION_SECONDS
-        if state.local == NO_CASE:
+        if state.local == NO_CRASHES:
             lifetime += CLEANUP_DELAY_SECONDS * (0.5 + self._jitter)
         return now - state.changed > lifetime
 
@@ -254,7 +256,7 @@
         """Set a request's state, and drop the oldest that is not refused."""
         self._states[digest] = state
         self._states.move_to_end(digest)
-        if len(state.case.lives) >= MOST_ENDS:
+        if len(state.crashes.incarnations) >= CRASH_THRESHOLD:
             self._over_threshold.add(digest)
         if len(self._states) > MAX_TRACKED_REQUESTS:
             oldest = (
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_case.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_case.py
@@ -7,7 +7,7 @@
 """Incarnations kept for one request in each phase; three suffice to refuse."""
 
 
-class Manner(enum.Enum):
+class RequestPhase(enum.Enum):
     """Phase of a request at a replica at the moment the replica crashed."""
 
     BEGUN = 'begun'
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class Crashes:
     """Replicas that crashed under one request, by names of incarnations.
 
     Names of registry entries or addresses would not do: a replica that crashes
@@ -32,32 +32,32 @@
     waiting: frozenset[str] = frozenset()
 
     @property
-    def lives(self) -> frozenset[str]:
+    def incarnations(self) -> frozenset[str]:
         """Incarnations of both phases."""
         return self.begun | self.waiting
 
-    def add(self, incarnation: str, phase: Manner) -> 'Case':
+    def add(self, incarnation: str, phase: RequestPhase) -> 'Crashes':
         """Add a crash; one known as begun no longer counts as waiting."""
-        if phase is Manner.BEGUN:
-            return self.merge(Case(begun=frozenset((incarnation,))))
-        return self.merge(Case(waiting=frozenset((incarnation,))))
+        if phase is RequestPhase.BEGUN:
+            return self.merge(Crashes(begun=frozenset((incarnation,))))
+        return self.merge(Crashes(waiting=frozenset((incarnation,))))
 
-    def merge(self, other: 'Case') -> 'Case':
+    def merge(self, other: 'Crashes') -> 'Crashes':
         """Combine the crashes that two nodes have seen."""
         begun = self.begun | other.begun
         waiting = (self.waiting | other.waiting) - begun
-        return Case(_truncate(begun), _truncate(waiting))
+        return Crashes(_truncate(begun), _truncate(waiting))
 
-    def covers(self, other: 'Case') -> bool:
+    def covers(self, other: 'Crashes') -> bool:
         """Whether all crashes of another are known here."""
         return self.merge(other) == self
 
 
-NO_CASE = Case()
+NO_CRASHES = Crashes()
 
 
 @dataclass(frozen=True, slots=True)
-class StoredCase:
+class StoredCrashes:
     """Crashes under one request, as the store holds them.
 
     :param revision: revision of the object. Of several writes that require
@@ -65,7 +65,7 @@
     """
 
     digest: str
-    case: Case
+    crashes: Crashes
     revision: int
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -3,10 +3,10 @@
 import itertools
 from collections.abc import Iterable, Iterator, Mapping
 
-from ryelatch_core.quarantine._case import Case
+from ryelatch_core.quarantine._case import Crashes
 from ryelatch_core.quarantine._known import CrashState
 
-MOST_ENDS = 3
+CRASH_THRESHOLD = 3
 """Crashes under a request at which it is refused.
 
 A request that is resent while a group of replicas is lost can meet two crashes
@@ -39,7 +39,7 @@
     candidates: Iterable[str],
     states: Mapping[str, CrashState],
     now: float,
-) -> Iterator[tuple[str, Case]]:
+) -> Iterator[tuple[str, Crashes]]:
     """List the requests to refuse, those with the most crashes first.
 
     A crash that one of them explains counts against no other request.
@@ -57,14 +57,14 @@
     explained: set[str] = set()
     for digest, state in ranked:
         if _is_cause(state, now, frozenset(explained), begun):
-            explained |= state.case.lives
-            if now - state.changed < _find_refusal_seconds(state.case):
-                yield digest, state.case
+            explained |= state.crashes.incarnations
+            if now - state.changed < _find_refusal_seconds(state.crashes):
+                yield digest, state.crashes
 
 
 def _rank(entry: tuple[str, CrashState]) -> tuple[int, int, str]:
-    digest, case = entry[0], entry[1].case
-    return -len(case.begun), -len(case.waiting), digest
+    digest, crashes = entry[0], entry[1].crashes
+    return -len(crashes.begun), -len(crashes.waiting), digest
 
 
 def _is_cause(
@@ -79,21 +79,21 @@
     that had begun to run there. The node that sent the latter may not have
     reported it yet, so waiting requests are considered only after a delay.
     """
-    begun = state.case.begun - explained
-    if len(begun) >= MOST_ENDS:
+    begun = state.crashes.begun - explained
+    if len(begun) >= CRASH_THRESHOLD:
         return True
     if now - state.changed < SETTLE_SECONDS:
         return False
-    unexplained = state.case.waiting - explained - begun_anywhere
-    return len(begun | unexplained) >= MOST_ENDS
+    unexplained = state.crashes.waiting - explained - begun_anywhere
+    return len(begun | unexplained) >= CRASH_THRESHOLD
 
 
 def _list_begun(states: Iterable[CrashState]) -> frozenset[str]:
-    groups = (state.case.begun for state in states)
+    groups = (state.crashes.begun for state in states)
     return frozenset(itertools.chain.from_iterable(groups))
 
 
-def _find_refusal_seconds(case: Case) -> float:
+def _find_refusal_seconds(crashes: Crashes) -> float:
     """Find for how many seconds a request is refused after its last crash."""
-    more = len(case.lives) - MOST_ENDS
+    more = len(crashes.incarnations) - CRASH_THRESHOLD
     return min(RETENTION_SECONDS, FIRST_REFUSAL_SECONDS * REFUSAL_GROWTH**more)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
@@ -35,7 +35,7 @@
         self.confirmed = max(self.confirmed, sent)
 
     @property
-    def oldest(self) -> float:
+    def max_age(self) -> float:
         """Age in seconds beyond which keys are not accepted."""
         return self.bound - REVOCATION_MARGIN_SECONDS
 
@@ -49,4 +49,4 @@
 
     def left(self, now: float) -> float:
         """Find the seconds for which keys are accepted if nothing confirms."""
-        return self.oldest - self.age(now)
+        return self.max_age - self.age(now)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import ModelProfile
 
 
-class Repeat(enum.Enum):
+class RetryPolicy(enum.Enum):
     """Whether a request is sent again if an attempt has an unknown outcome."""
 
     ANY = 'any'
@@ -39,7 +39,7 @@
     :param host: host name of the requests.
     :param prefix: path prefix; begins and ends with a slash.
     :param splits: services that may run the requests, at least one.
-    :param repeat: whether a request may be sent again if an attempt's
+    :param retry_policy: whether a request may be sent again if an attempt's
         outcome is unknown.
     :param streaming: whether the answer is a stream of events.
     :param max_attempts: number of upstreams that one request may be sent to.
@@ -55,7 +55,7 @@
     host: str
     prefix: str
     splits: tuple[Split, ...]
-    repeat: Repeat
+    retry_policy: RetryPolicy
     streaming: bool
     max_attempts: int
     timeout: float
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceTerms:
+class ServiceConfiguration:
     """Configuration that all upstreams of a service have in common.
 
     :param health_path: path of an upstream's health check.
@@ -121,6 +121,6 @@
 
     version: int
     routes: tuple[Route, ...] = ()
-    services: Mapping[str, ServiceTerms] = field(default_factory=dict)
+    services: Mapping[str, ServiceConfiguration] = field(default_factory=dict)
     limits: ClientLimits = ClientLimits()
     accounts: tuple[Account, ...] = ()
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-LONGEST_BACKOFF = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 """Seconds after which a backoff ends, whatever the replica asked for.
 
 A replica that asks for a year by mistake would otherwise get no request until
@@ -11,7 +11,7 @@
 
 
 @dataclass(eq=False)
-class BackoffBook:
+class BackoffTracker:
     """Ends of the backoffs of replicas, by names of their incarnations.
 
     Only time ends a backoff, or a restart of the replica, whose new
@@ -23,7 +23,7 @@
 
     def begin(self, name: str, seconds: float, now: float) -> None:
         """Begin a backoff; of several, the one that ends last counts."""
-        until = now + min(seconds, LONGEST_BACKOFF)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         self._until[name] = max(until, self._until.get(name, until))
 
     def list_names(self, now: float) -> frozenset[str]:
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReportedLimit:
     """A rate limit that a replica has announced, or that it has none.
 
     :param limit: requests per second from all nodes together; ``None`` if
@@ -22,12 +22,12 @@
 
 
 @dataclass(eq=False)
-class LimitBook:
+class LimitTracker:
     """Newest announced limit of each replica, by name of its incarnation."""
 
-    _reported: dict[str, Heard] = field(default_factory=dict)
+    _reported: dict[str, ReportedLimit] = field(default_factory=dict)
 
-    def hear(self, name: str, reported: Heard) -> bool:
+    def record_limit(self, name: str, reported: ReportedLimit) -> bool:
         """Record an announced limit, unless a newer one is known.
 
         :returns: whether the replica has a limit now and had none, or the
@@ -44,7 +44,7 @@
         before = None if known is None else known.limit
         return (before is None) != (reported.limit is None)
 
-    def find(self, name: str) -> Heard | None:
+    def find(self, name: str) -> ReportedLimit | None:
         """Find the newest announcement of a replica that has or had a limit."""
         return self._reported.get(name)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -117,14 +117,14 @@
         return account
     method, target = scope['method'], _read_target(scope, path)
     digest = digest_request(host, method, target, account, received.body)
-    case = context.quarantine.find_refused(digest)
-    if case is not None:
+    crashes = context.quarantine.find_refused(digest)
+    if crashes is not None:
         return Refusal(
             _UNAVAILABLE,
             'replicas ended under this request',
             QUARANTINE_RETRY_SECONDS,
             digest,
-            tuple(sorted(case.lives)),
+            tuple(sorted(crashes.incarnations)),
         )
     timeout = min(route.timeout, terms.deadline or route.timeout)
     return AdmittedRequest(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
@@ -1,7 +1,7 @@
 """Records the requests under which replicas crashed, for the quarantine."""
 
 from ryelatch_core.fleet import Replica
-from ryelatch_core.quarantine import Manner
+from ryelatch_core.quarantine import RequestPhase
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 from ryelatch_node.relay._parts import RelayContext
@@ -35,8 +35,8 @@
     ran = stream.has_run_long(context.now())
     if not await _has_crashed(context, stream.first_replica) or ran:
         return False
-    manner = Manner.BEGUN if stream.answered else Manner.WAITING
-    context.quarantine.note_end(
+    manner = RequestPhase.BEGUN if stream.answered else RequestPhase.WAITING
+    context.quarantine.record_crash(
         stream.request.digest,
         stream.first_replica.name,
         manner,
@@ -58,8 +58,8 @@
     begun.
     """
     if _connection_lost(error) and await _has_crashed(context, replica):
-        context.quarantine.note_end(
-            request.digest, replica.name, Manner.BEGUN, exchange.identity
+        context.quarantine.record_crash(
+            request.digest, replica.name, RequestPhase.BEGUN, exchange.identity
         )
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Stage
-from ryelatch_core.quarantine import MOST_ENDS
+from ryelatch_core.quarantine import CRASH_THRESHOLD
 from ryelatch_core.streams import EventSplitter, StreamError
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._choice import (
@@ -119,7 +119,7 @@
         return False
     if progress.may_have_run and not request.repeatable:
         return False
-    if progress.crashes >= MOST_ENDS:
+    if progress.crashes >= CRASH_THRESHOLD:
         return False
     if context.quarantine.find_refused(request.digest):
         return False
@@ -258,7 +258,7 @@
 ) -> _AttemptResult:
     """Keep an error response of a replica, or pass it on to the client."""
     body = await answer.read()
-    context.quarantine.note_run(stream.request.digest)
+    context.quarantine.record_run(stream.request.digest)
     stream.exchange.ran += 1
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
@@ -303,7 +303,7 @@
         await exchange.start(answer.status, _strip_length(answer))
     await exchange.write(b'', more=False)
     context.replicas.trust(stream.first_replica)
-    context.quarantine.note_run(stream.request.digest)
+    context.quarantine.record_run(stream.request.digest)
     record_outcome(context, stream, failed=False)
     return _AttemptResult.DONE
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -259,7 +259,7 @@
         if not answer.terms.signed:
             raise SendError(SendErrorKind.INVALID, 'unsigned answer')
     exchange.ran += 1
-    context.quarantine.note_run(request.digest)
+    context.quarantine.record_run(request.digest)
     failed = answer.status >= _SERVER_ERROR
     context.failures.note(
         replica.name,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -14,7 +14,7 @@
 from starlette.types import Receive, Scope, Send
 
 from ryelatch_core.events import catalogue
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_core.routing import ClientLimits
 from ryelatch_node.listener import BACKLOG, bind_listener
 from ryelatch_node.ports import Address, SettingsChanged
@@ -156,7 +156,7 @@
         """Apply settings that changed while this process runs."""
         self._context.startup = changed.startup
         self._context.configuration.set_bound(changed.startup.revoke_seconds)
-        self._context.replicas.known.terms = reckon_terms(
+        self._context.replicas.known.terms = compute_departure_bounds(
             changed.startup.drain_seconds, changed.startup.steady_seconds
         )
         self._apply_budget()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -65,7 +65,7 @@
             self._context.replicas.drop_lapsed()
             self._context.budget.refill(HOUSEKEEPING_SECONDS)
             self._forget_removed()
-            self._context.quarantine.judge()
+            self._context.quarantine.evaluate()
             self._context.configuration.allows_keys()
             self._context.replicas.known.check()
             self._server.apply_limits()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_core.quarantine import FRESH_SECONDS
+from ryelatch_core.quarantine import CRASH_WINDOW_SECONDS
 from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 
 FIRST_REPLICA_LOST = 'first replica lost'
@@ -78,7 +78,7 @@
         :param now: monotonic seconds.
         """
         first = self.first_event
-        return first is not None and now - first >= FRESH_SECONDS
+        return first is not None and now - first >= CRASH_WINDOW_SECONDS
 
     def interrupt(self, reason: str) -> None:
         """Stop reading the answer, so that another attempt can resume it.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -10,7 +10,7 @@
 from yarl import URL
 
 from ryelatch_core.fleet import Replica
-from ryelatch_core.membership import SEND_SECONDS
+from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
 from ryelatch_node.ports import AnswerTerms, Headers, Wire
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 
@@ -203,7 +203,9 @@
         connector=connector,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=SEND_SECONDS),
+        timeout=aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+        ),
     )
     # Only the relay decides on, counts and logs repeated requests.
     session._retry_connection = False
--- a/tests/core/quarantine/test_book.py
+++ b/tests/core/quarantine/test_book.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from ryelatch_core.quarantine import Book, Case, Manner, Step, StoredCase
+from ryelatch_core.quarantine import (
+    Crashes,
+    CrashTracker,
+    RequestPhase,
+    StoredCrashes,
+    StoreWrite,
+)
 from ryelatch_core.quarantine._book import (
     CLEANUP_DELAY_SECONDS,
     CLEARED_SECONDS,
@@ -23,26 +29,28 @@
 _LATER = _NOW + SETTLE_SECONDS
 
 
-def _make(jitter: float = 0.5) -> Book:
-    return Book(jitter)
+def _make(jitter: float = 0.5) -> CrashTracker:
+    return CrashTracker(jitter)
 
 
-def _crash(tracker: Book, digest: str, *names: str, now: float = _NOW) -> None:
+def _crash(
+    tracker: CrashTracker, digest: str, *names: str, now: float = _NOW
+) -> None:
     for name in names:
-        tracker.note_end(digest, name, Manner.BEGUN, now)
+        tracker.record_crash(digest, name, RequestPhase.BEGUN, now)
 
 
-def _crash_waiting(tracker: Book, digest: str, *names: str) -> None:
+def _crash_waiting(tracker: CrashTracker, digest: str, *names: str) -> None:
     for name in names:
-        tracker.note_end(digest, name, Manner.WAITING, _NOW)
+        tracker.record_crash(digest, name, RequestPhase.WAITING, _NOW)
 
 
-def _store(digest: str, *begun: str, revision: int = 5) -> StoredCase:
-    return StoredCase(digest, Case(frozenset(begun)), revision)
+def _store(digest: str, *begun: str, revision: int = 5) -> StoredCrashes:
+    return StoredCrashes(digest, Crashes(frozenset(begun)), revision)
 
 
-def _refuses(tracker: Book, digest: str, now: float = _NOW) -> bool:
-    tracker.judge(now)
+def _refuses(tracker: CrashTracker, digest: str, now: float = _NOW) -> bool:
+    tracker.evaluate(now)
     return tracker.find_refused(digest) is not None
 
 
@@ -54,7 +62,7 @@
     assert _refuses(tracker, 'a')
     found = tracker.find_refused('a')
     assert found is not None
-    assert found.lives == {'r-1', 'r-2', 'r-3'}
+    assert found.incarnations == {'r-1', 'r-2', 'r-3'}
     assert not _refuses(tracker, 'b')
 
 
@@ -99,7 +107,7 @@
     assert _refuses(tracker, 'cause')
 
 
-def test_waiting_tells_less_than_beginning() -> None:
+def test_waiting_counts_less_than_begun() -> None:
     """At each crash another request had just begun to run.
 
     None of these has met three crashes, but each explains one crash better
@@ -131,7 +139,7 @@
     tracker = _make()
     _crash(tracker, 'a', 'r-1', 'r-2')
     assert tracker.is_suspect('a', _NOW)
-    tracker.note_run('a', _NOW)
+    tracker.record_run('a', _NOW)
     _crash(tracker, 'a', 'r-3', 'r-4', 'r-5', now=_NOW + CLEARED_SECONDS - 1)
     assert not _refuses(tracker, 'a', _NOW + CLEARED_SECONDS - 1)
     assert not tracker.is_suspect('a', _NOW)
@@ -140,7 +148,7 @@
 def test_run_of_long_ago_clears_nothing() -> None:
     """An update makes replicas crash under a request that ran before."""
     tracker = _make()
-    tracker.note_run('a', _NOW)
+    tracker.record_run('a', _NOW)
     later = _NOW + CLEARED_SECONDS
     _crash(tracker, 'a', 'r-1', 'r-2', 'r-3', now=later)
     assert _refuses(tracker, 'a', later)
@@ -149,19 +157,19 @@
 def test_run_takes_back_what_others_told() -> None:
     tracker = _make()
     tracker.put(_store('a', 'r-1', 'r-2', revision=7), _NOW)
-    tracker.note_run('a', _NOW)
-    assert tracker.list_due(_NOW) == [Step('a', None, 7)]
+    tracker.record_run('a', _NOW)
+    assert tracker.list_due_writes(_NOW) == [StoreWrite('a', None, 7)]
 
 
 def test_first_end_is_told_after_a_while() -> None:
     """Most requests run on another replica at once and cost no store call."""
     tracker = _make(jitter=0.5)
     _crash(tracker, 'a', 'r-1')
-    assert not tracker.list_due(_NOW + REPORT_DELAY_SECONDS / 2)
-    write = Step('a', Case(frozenset(('r-1',))), 0)
-    assert tracker.list_due(_NOW + REPORT_DELAY_SECONDS) == [write]
-    tracker.note_run('a', _NOW)
-    assert not tracker.list_due(_NOW + REPORT_DELAY_SECONDS)
+    assert not tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS / 2)
+    write = StoreWrite('a', Crashes(frozenset(('r-1',))), 0)
+    assert tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS) == [write]
+    tracker.record_run('a', _NOW)
+    assert not tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS)
 
 
 def test_second_end_is_told_at_once() -> None:
@@ -169,10 +177,10 @@
     tracker = _make()
     tracker.put(_store('a', 'r-1', revision=7), _NOW)
     _crash(tracker, 'a', 'r-2')
-    write = Step('a', Case(frozenset(('r-1', 'r-2'))), 7)
-    assert tracker.list_due(_NOW) == [write]
+    write = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2'))), 7)
+    assert tracker.list_due_writes(_NOW) == [write]
     tracker.put(_store('a', 'r-1', 'r-2', revision=8), _NOW)
-    assert not tracker.list_due(_NOW)
+    assert not tracker.list_due_writes(_NOW)
 
 
 def test_deleted_object_lets_a_request_in() -> None:
@@ -182,7 +190,7 @@
     assert _refuses(tracker, 'a')
     tracker.remove('a', _NOW)
     assert not _refuses(tracker, 'a')
-    assert not tracker.list_due(_NOW + RETENTION_SECONDS)
+    assert not tracker.list_due_writes(_NOW + RETENTION_SECONDS)
 
 
 def test_what_the_store_lost_is_written_again() -> None:
@@ -196,11 +204,11 @@
     tracker.put(_store('b', 'r-1'), _NOW)
     tracker.replace((), _NOW)
     assert _refuses(tracker, 'a')
-    assert not tracker.list_due(_NOW)
-    lost = Step('a', Case(frozenset(('r-1', 'r-2', 'r-3'))), 0)
-    assert tracker.list_due(_NOW + REWRITE_SPREAD_SECONDS) == [lost]
+    assert not tracker.list_due_writes(_NOW)
+    lost = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2', 'r-3'))), 0)
+    assert tracker.list_due_writes(_NOW + REWRITE_SPREAD_SECONDS) == [lost]
     tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=2), _NOW)
-    assert not tracker.list_due(_NOW + REWRITE_SPREAD_SECONDS)
+    assert not tracker.list_due_writes(_NOW + REWRITE_SPREAD_SECONDS)
 
 
 def test_own_ends_survive_a_new_list() -> None:
@@ -212,7 +220,7 @@
     assert _refuses(tracker, 'a')
 
 
-def test_late_word_is_passed_over() -> None:
+def test_older_revision_is_ignored() -> None:
     tracker = _make()
     tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=9), _NOW)
     tracker.put(_store('a', 'r-1', revision=8), _NOW)
@@ -231,8 +239,10 @@
     tracker = _make()
     _crash(tracker, 'a', *names)
     tracker.put(_store('a', *names, revision=7), _NOW)
-    assert not tracker.list_due(_NOW + lifetime - 1)
-    assert tracker.list_due(_NOW + lifetime + 1) == [Step('a', None, 7)]
+    assert not tracker.list_due_writes(_NOW + lifetime - 1)
+    assert tracker.list_due_writes(_NOW + lifetime + 1) == [
+        StoreWrite('a', None, 7)
+    ]
 
 
 def test_refused_request_is_tried_again_later() -> None:
@@ -245,7 +255,7 @@
     later = _NOW + FIRST_REFUSAL_SECONDS
     assert _refuses(tracker, 'a', later - 1)
     assert not _refuses(tracker, 'a', later)
-    tracker.note_run('a', later)
+    tracker.record_run('a', later)
     _crash(tracker, 'a', 'r-4', now=later + CLEARED_SECONDS)
     assert not _refuses(tracker, 'a', later + CLEARED_SECONDS)
 
@@ -284,12 +294,12 @@
     assert set(tracker.refused) == {'a', 'b', 'c'}
 
 
-def test_word_of_a_lost_node_is_deleted() -> None:
+def test_object_of_a_lost_node_is_deleted() -> None:
     tracker = _make(jitter=0.5)
     tracker.put(_store('a', 'r-1', revision=7), _NOW)
-    assert not tracker.list_due(_NOW + SUSPECT_SECONDS + 1)
+    assert not tracker.list_due_writes(_NOW + SUSPECT_SECONDS + 1)
     later = _NOW + SUSPECT_SECONDS + CLEANUP_DELAY_SECONDS + 1
-    assert tracker.list_due(later) == [Step('a', None, 7)]
+    assert tracker.list_due_writes(later) == [StoreWrite('a', None, 7)]
 
 
 def test_suspects_are_bounded_and_refusals_kept() -> None:
@@ -303,9 +313,9 @@
 
 
 def test_a_case_is_bounded() -> None:
-    case = Case()
+    crashes = Crashes()
     for number in itertools.count():
-        case = case.add(f'r-{number}', Manner.BEGUN)
+        crashes = crashes.add(f'r-{number}', RequestPhase.BEGUN)
         if number > 100:
             break
-    assert len(case.lives) < 20
+    assert len(crashes.incarnations) < 20
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_evacuation.py
@@ -9,7 +9,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 from ryelatch_node.relay._evacuation import LEAVING_SECONDS, MigrationPlanner
 from ryelatch_node.relay._stream import LiveStream
@@ -38,7 +38,10 @@
     """
     clock = FakeClock()
     view = ReplicaView(
-        LineLog('node-a', clock, len), clock, Hub(), reckon_terms(2, 3)
+        LineLog('node-a', clock, len),
+        clock,
+        Hub(),
+        compute_departure_bounds(2, 3),
     )
     view.put(_make('m-1'))
     view.known.confirm(clock.now)
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -9,7 +9,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 from ryelatch_node.ports import Reach, Report
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST
@@ -53,7 +53,7 @@
 
     clock = VirtualClock()
     log = LineLog('node-a', clock, len)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     view.put(_HEAD)
     context: Any = SimpleNamespace(
         clock=clock,
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryelatch_core.membership import SEND_SECONDS
+from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
 from virtual.loop import VirtualLoop, run
 from virtual.store import Trouble
 from virtual.world import World
@@ -42,7 +42,7 @@
     :param exempt: nodes that something has been done to.
     """
     world.leave(name)
-    await asyncio.sleep(world.drain - SEND_SECONDS)
+    await asyncio.sleep(world.drain - CONNECT_TIMEOUT_SECONDS)
     offering = {one.name for one in world.nodes.values() if one.offers(name)}
     assert not offering - set(exempt)
 
@@ -303,7 +303,9 @@
 @pytest.fixture
 def _sharing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the first node watch for the others, as in a large fleet."""
-    monkeypatch.setattr('ryelatch_core.membership._watchers.FEWEST_NODES', 1)
+    monkeypatch.setattr(
+        'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 1
+    )
 
 
 @pytest.mark.usefixtures('_sharing')
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -68,7 +68,9 @@
 
 @pytest.fixture(autouse=True)
 def _share(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr('ryelatch_core.membership._watchers.FEWEST_NODES', 1)
+    monkeypatch.setattr(
+        'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 1
+    )
     # The first watch, before the peer is known, is not to last for long.
     monkeypatch.setattr('ryelatch_platform._kinds.REGISTRY_WAIT', 0.5)
 
@@ -153,7 +155,7 @@
     """
     async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
         monkeypatch.setattr(
-            'ryelatch_core.membership._watchers.FEWEST_NODES', 20
+            'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 20
         )
         store = app.find('store', object)
 
