--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -3,9 +3,8 @@
 from ryelatch_core.fleet._accounts import AccountBook
 from ryelatch_core.fleet._durations import DurationBook
 from ryelatch_core.fleet._failures import FailureBook
-from ryelatch_core.fleet._heads import rank_heads
+from ryelatch_core.fleet._first_replicas import rank_heads
 from ryelatch_core.fleet._load import NO_LOAD, LoadBook, LoadEstimate
-from ryelatch_core.fleet._paces import PaceBook
 from ryelatch_core.fleet._path import choose_path
 from ryelatch_core.fleet._performance import (
     estimate_capacity,
@@ -16,6 +15,7 @@
 from ryelatch_core.fleet._pool import Move
 from ryelatch_core.fleet._prices import PathQuery
 from ryelatch_core.fleet._returns import ReturnPlan
+from ryelatch_core.fleet._step_factors import PaceBook
 from ryelatch_core.fleet._suspicion import (
     FULL_SECONDS,
     UNREACHABLE_SECONDS,
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
@@ -5,7 +5,7 @@
 the others get a part of the places that shrinks with the surge. Here an
 account beyond its share may use only a part of each window, so that those
 below theirs find the rest of it free; the share is what each would have if
-all that are busy had the same.
+all that are active had the same.
 """
 
 from collections import Counter
@@ -17,7 +17,7 @@
 accounts that do as always were refused more than others in each surge.
 """
 
-_LEAST_REQUESTS = 3
+_MIN_REQUESTS = 3
 """Requests in progress below which no account is heavy."""
 
 
@@ -39,8 +39,8 @@
 
     def is_heavy(self, account: str) -> bool:
         """Whether an account has more than its share."""
-        own = self._requests.get(account, 0)
-        busy = len(self._requests)
-        if own < _LEAST_REQUESTS or busy < 2:
+        requests = self._requests.get(account, 0)
+        active = len(self._requests)
+        if requests < _MIN_REQUESTS or active < 2:
             return False
-        return own > BEYOND_SHARE * self._requests.total() / busy
+        return requests > BEYOND_SHARE * self._requests.total() / active
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -9,15 +9,15 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
+from ryelatch_core.fleet._copy_groups import choose_copy_groups
 from ryelatch_core.fleet._pool import Move, fit_pool
-from ryelatch_core.fleet._rows import choose_rows
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
-from ryelatch_core.fleet._zones import LEAST_ROOM
+from ryelatch_core.fleet._zones import MIN_HEADROOM
 
-_MOST_ROOM = 200
+_MAX_HEADROOM = 200
 """Most usual requests for which a replica keeps room; slots end at 192."""
 
-_ROOMS = range(_MOST_ROOM, LEAST_ROOM - 1, -4)
+_HEADROOMS = range(_MAX_HEADROOM, MIN_HEADROOM - 1, -4)
 """Usual requests for which a replica keeps room, tried from the most."""
 
 _RESERVE_SHARE = 0.65
@@ -26,7 +26,7 @@
 Below that callers wait for places on a calm day.
 """
 
-_SPARES = 1
+_SPARE_REPLICAS = 1
 """Replicas of a pool that a first plan leaves empty.
 
 An empty replica takes over a lost one's layers in the time of one load. One
@@ -48,26 +48,28 @@
     standby: Replica | None
 
 
-def lay_copies(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
+def place_copies(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
     """Plan a pool that holds nothing: the copies that serve the most.
 
     What is left over when they are whole is for steps that improve them.
     """
-    rows = choose_rows(pool, profile, _ROOMS, _find_room)
+    groups = choose_copy_groups(pool, profile, _HEADROOMS, _find_headroom)
     copies = [
         _assign_roles(
-            _put_smallest_first(row, profile), profile, alone=len(rows) == 1
+            _put_smallest_first(group, profile),
+            profile,
+            single_copy=len(groups) == 1,
         )
-        for row in rows
+        for group in groups
     ]
     return [
         Move(replica, layers)
         for roles in copies
-        for replica, layers in _lay_copy(roles, profile)
+        for replica, layers in _assign_layers(roles, profile)
     ]
 
 
-def lay_anew(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
+def relayout_pool(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
     """Spread the layers anew over a pool whose gaps no steps can close.
 
     Such a pool has lost a replica that held much; its paths go through other
@@ -77,66 +79,76 @@
     last = profile.layers
     ordered = sorted(
         pool,
-        key=lambda one: (one.layers.first if one.layers else last, one.name),
+        key=lambda replica: (
+            replica.layers.first if replica.layers else last,
+            replica.name,
+        ),
+    )
+    roles = _assign_roles(
+        ordered, profile, single_copy=_all_hold_first_layers(ordered[:2])
     )
-    roles = _assign_roles(ordered, profile, alone=_begin_alike(ordered[:2]))
     return [
         Move(replica, layers)
-        for replica, layers in _lay_copy(roles, profile)
+        for replica, layers in _assign_layers(roles, profile)
         if layers != replica.layers
     ]
 
 
-def _begin_alike(replicas: Sequence[Replica]) -> bool:
-    return all(one.layers and not one.layers.first for one in replicas)
+def _all_hold_first_layers(replicas: Sequence[Replica]) -> bool:
+    return all(
+        replica.layers and not replica.layers.first for replica in replicas
+    )
 
 
 def _put_smallest_first(
-    row: Sequence[Replica],
+    group: Sequence[Replica],
     profile: ModelProfile,
 ) -> list[Replica]:
     """Put the two smallest replicas before the others of a row."""
     smallest = sorted(
-        row,
-        key=lambda one: profile.accelerators[one.accelerator].memory_mb,
+        group,
+        key=lambda replica: profile.accelerators[replica.accelerator].memory_mb,
     )[:2]
-    names = {one.name for one in smallest}
-    return [*smallest, *(one for one in row if one.name not in names)]
+    names = {replica.name for replica in smallest}
+    return [
+        *smallest,
+        *(replica for replica in group if replica.name not in names),
+    ]
 
 
 def _assign_roles(
     ordered: Sequence[Replica],
     profile: ModelProfile,
     *,
-    alone: bool,
+    single_copy: bool,
 ) -> _Roles:
     """Choose who holds the first layers twice, if the row has room for it.
 
     :param ordered: the second one is the one to do it.
-    :param alone: whether no other row of the pool begins a copy.
+    :param single_copy: whether no other row of the pool begins a copy.
     """
-    whole = _Roles(ordered, None)
-    if not alone or len(ordered) < 2:
-        return whole
+    without_standby = _Roles(ordered, None)
+    if not single_copy or len(ordered) < 2:
+        return without_standby
     first, standby, *others = ordered
     holders = [first, *others]
-    least = _find_room(ordered, profile) * _RESERVE_SHARE
-    if _find_room(holders, profile) < max(least, LEAST_ROOM):
-        return whole
+    min_headroom = _find_headroom(ordered, profile) * _RESERVE_SHARE
+    if _find_headroom(holders, profile) < max(min_headroom, MIN_HEADROOM):
+        return without_standby
     return _Roles(holders, standby)
 
 
-def _lay_copy(
+def _assign_layers(
     roles: _Roles,
     profile: ModelProfile,
 ) -> Iterator[tuple[Replica, LayerRange]]:
     sizes = _choose_sizes(roles.holders, profile)
     if roles.standby and sizes[0]:
         yield roles.standby, LayerRange(0, sizes[0])
-    yield from _lay_row(roles.holders, sizes, profile.layers)
+    yield from _assign_ranges(roles.holders, sizes, profile.layers)
 
 
-def _lay_row(
+def _assign_ranges(
     ordered: Sequence[Replica],
     sizes: Sequence[int],
     layers: int,
@@ -160,20 +172,20 @@
 
     A spare is kept unless it would cost too much of that room.
     """
-    most = _find_room(ordered, profile)
-    spared = _find_room(ordered[:-_SPARES], profile)
-    if spared >= most * _RESERVE_SHARE:
-        most = spared
-    return fit_pool(ordered, profile, most or LEAST_ROOM)
+    max_headroom = _find_headroom(ordered, profile)
+    with_spare = _find_headroom(ordered[:-_SPARE_REPLICAS], profile)
+    if with_spare >= max_headroom * _RESERVE_SHARE:
+        max_headroom = with_spare
+    return fit_pool(ordered, profile, max_headroom or MIN_HEADROOM)
 
 
-def _find_room(ordered: Sequence[Replica], profile: ModelProfile) -> int:
+def _find_headroom(ordered: Sequence[Replica], profile: ModelProfile) -> int:
     """Find the most room that a whole copy leaves; 0 if there is none."""
     return next(
         (
-            room
-            for room in _ROOMS
-            if sum(fit_pool(ordered, profile, room)) >= profile.layers
+            headroom
+            for headroom in _HEADROOMS
+            if sum(fit_pool(ordered, profile, headroom)) >= profile.layers
         ),
         0,
     )
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
@@ -8,16 +8,16 @@
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-_WEIGHT = 0.2
+_LATEST_WEIGHT = 0.2
 """Weight of the newest time in the mean of a replica's times.
 
 The mean follows a change within five answers, a second at usual load.
 """
 
-_SLOW_STEP = 0.05
+_RANK_STEP_SECONDS = 0.05
 """Seconds by which means must differ to tell a slow replica from chance."""
 
-_FADE_SECONDS = 20.0
+_DECAY_SECONDS = 20.0
 """Time in which a mean fades to a third, as a slow replica is hardly asked."""
 
 
@@ -26,10 +26,10 @@
     """A mean of times, as of a moment; both in seconds."""
 
     seconds: float
-    noted: float
+    updated: float
 
 
-_NOTHING = _Mean(0, 0)
+_NO_MEAN = _Mean(0, 0)
 
 
 @dataclass(eq=False)
@@ -44,12 +44,12 @@
         :param now: monotonic seconds.
         """
         mean = self._read(name, now)
-        changed = mean + _WEIGHT * (seconds - mean)
+        changed = mean + _LATEST_WEIGHT * (seconds - mean)
         self._means[name] = _Mean(changed, now)
 
     def rank(self, name: str, now: float) -> int:
         """Rank a replica by its mean, coarsely; 0 is the fastest."""
-        return int(self._read(name, now) / _SLOW_STEP)
+        return int(self._read(name, now) / _RANK_STEP_SECONDS)
 
     def keep(self, names: Container[str]) -> None:
         """Forget all replicas but some."""
@@ -58,5 +58,5 @@
         }
 
     def _read(self, name: str, now: float) -> float:
-        mean = self._means.get(name, _NOTHING)
-        return mean.seconds * math.exp((mean.noted - now) / _FADE_SECONDS)
+        mean = self._means.get(name, _NO_MEAN)
+        return mean.seconds * math.exp((mean.updated - now) / _DECAY_SECONDS)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
@@ -11,7 +11,7 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-FAILING_SHARE = 0.45
+FAILING_RATIO = 0.45
 """Share of requests that a failing replica is taken to fail."""
 
 EVIDENCE_LIMIT = 1.5
@@ -21,19 +21,19 @@
 answer in seven is a failure; one such failure alone does not.
 """
 
-EVIDENCE_MOST = 6.0
+MAX_EVIDENCE = 6.0
 """Most evidence that is kept.
 
 A replica is then tried again within four seconds; such faults last about six.
 """
 
-FORGET_SECONDS = 3.0
+DECAY_SECONDS = 3.0
 """Time in which evidence is forgotten to a third."""
 
-_RAREST = 0.01
+_MIN_FAILURE_RATIO = 0.01
 """Share of failures below which routes are not told apart."""
 
-_USUAL_WEIGHT = 0.05
+_BASELINE_WEIGHT = 0.05
 """Weight of the newest answer on a route, from whichever replica."""
 
 
@@ -41,16 +41,16 @@
 class _Evidence:
     """The logarithm of the odds that a replica fails, as of a time."""
 
-    weight: float
-    noted: float
+    log_odds: float
+    updated: float
 
 
 class FailureBook:
     """What a node saw of failures, by replica and by route."""
 
     def __init__(self) -> None:
-        self._usual: dict[str, float] = {}
-        self._found: dict[str, _Evidence] = {}
+        self._baselines: dict[str, float] = {}
+        self._evidence: dict[str, _Evidence] = {}
 
     def note(
         self,
@@ -64,36 +64,44 @@
 
         :param route: its name; routes differ in how often they fail.
         """
-        usual = self._usual.get(route, 0)
-        weight = self._read(replica, now) + _weigh(usual, failed=failed)
-        kept = min(EVIDENCE_MOST, max(0, weight))
-        self._found[replica] = _Evidence(kept, now)
-        self._usual[route] = usual + _USUAL_WEIGHT * (failed - usual)
+        baseline = self._baselines.get(route, 0)
+        log_odds = self._read(replica, now) + _compute_evidence(
+            baseline, failed=failed
+        )
+        kept = min(MAX_EVIDENCE, max(0, log_odds))
+        self._evidence[replica] = _Evidence(kept, now)
+        self._baselines[route] = baseline + _BASELINE_WEIGHT * (
+            failed - baseline
+        )
 
     def list_failing(self, now: float) -> frozenset[str]:
         """Name the replicas to avoid where there are others."""
         return frozenset(
             name
-            for name in self._found
+            for name in self._evidence
             if self._read(name, now) > EVIDENCE_LIMIT
         )
 
     def keep(self, names: Container[str]) -> None:
         """Forget all replicas but some."""
-        self._found = {
-            name: found for name, found in self._found.items() if name in names
+        self._evidence = {
+            name: evidence
+            for name, evidence in self._evidence.items()
+            if name in names
         }
 
     def _read(self, replica: str, now: float) -> float:
-        found = self._found.get(replica)
-        if found is None:
+        evidence = self._evidence.get(replica)
+        if evidence is None:
             return 0
-        return found.weight * math.exp((found.noted - now) / FORGET_SECONDS)
+        return evidence.log_odds * math.exp(
+            (evidence.updated - now) / DECAY_SECONDS
+        )
 
 
-def _weigh(usual: float, *, failed: bool) -> float:
+def _compute_evidence(baseline: float, *, failed: bool) -> float:
     """Weigh an answer for and against a replica that fails."""
-    share = min(FAILING_SHARE, max(_RAREST, usual))
+    ratio = min(FAILING_RATIO, max(_MIN_FAILURE_RATIO, baseline))
     if failed:
-        return math.log(FAILING_SHARE / share)
-    return math.log((1 - FAILING_SHARE) / (1 - share))
+        return math.log(FAILING_RATIO / ratio)
+    return math.log((1 - FAILING_RATIO) / (1 - ratio))
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_heads.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_first_replicas.py
@@ -25,11 +25,18 @@
     :param digest: of the request.
     :param replicas: those that may be used.
     """
-    heads = [one for one in replicas if one.layers and not one.layers.first]
-    zones = Counter(one.zone for one in heads)
+    first_replicas = [
+        replica
+        for replica in replicas
+        if replica.layers and not replica.layers.first
+    ]
+    zones = Counter(replica.zone for replica in first_replicas)
     return sorted(
-        heads,
-        key=lambda one: (zones[one.zone] == 1, _hash(digest, one.name)),
+        first_replicas,
+        key=lambda replica: (
+            zones[replica.zone] == 1,
+            _hash(digest, replica.name),
+        ),
     )
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -7,20 +7,20 @@
 
 from ryelatch_core.fleet._types import Stage
 
-USUAL_FIRST_SECONDS = 0.15
+UNLOADED_FIRST_EVENT_SECONDS = 0.15
 """Time to a first event up to which a path counts as free.
 
 Unloaded paths need 0.05 s, and 0.1 s for the longest prompts.
 """
 
-EXCESS_SECONDS = 3.0
+EXCESS_DECAY_SECONDS = 3.0
 """Time in which a path's excess is forgotten to a third.
 
 A usual answer takes two seconds, so what crowded a path is mostly gone then;
 and a path that nobody tries would never be seen to be free again.
 """
 
-MEAN_SECONDS = 0.05
+MEAN_SECONDS_PER_NODE = 0.05
 """Time, for each node that there is, in which means follow a change.
 
 A node of sixty sends a request through a replica every five seconds: what it
@@ -28,19 +28,19 @@
 node of eight has several at once, and the mean follows within half a second.
 """
 
-DOUBT_SECONDS = 2.0
+MIN_LEARNING_SECONDS = 2.0
 """Time in which a node that starts learns of the others, at least.
 
 That of a usual answer; it may not know yet how many nodes there are.
 """
 
-_LEAST_MATURITY = 0.05
+_MIN_MATURITY = 0.05
 """Share of its final value that a mean is taken to have at least.
 
 Less would make one request of a node stand for hundreds.
 """
 
-_WEIGHT = 0.3
+_LATEST_WEIGHT = 0.3
 """Weight of the newest excess: three requests in a row tell the truth."""
 
 
@@ -50,19 +50,19 @@
 
     requests: float
     tokens: float
-    noted: float
+    updated: float
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEstimate:
     """What all nodes together are taken to have at each replica, by name.
 
-    :param doubt: from 0 to 1, how little a node knows of that yet.
+    :param uncertainty: from 0 to 1, how little a node knows of that yet.
     """
 
     requests: Mapping[str, float]
     tokens: Mapping[str, float]
-    doubt: float = 0
+    uncertainty: float = 0
 
 
 NO_LOAD = LoadEstimate({}, {})
@@ -81,7 +81,7 @@
         self.tokens: Counter[str] = Counter()
         self._means: dict[str, _Mean] = {}
         self._nodes = 1
-        self._began: float | None = None
+        self._started_at: float | None = None
         self._excess: dict[str, tuple[float, float]] = {}
 
     def note_first(
@@ -91,26 +91,28 @@
         now: float,
     ) -> None:
         """Note how long a path took to its first event."""
-        excess = max(0.0, seconds - USUAL_FIRST_SECONDS)
+        excess = max(0.0, seconds - UNLOADED_FIRST_EVENT_SECONDS)
         for stage in path:
             name = stage.replica.name
-            known = self.find_excess(name, now)
-            mean = known + _WEIGHT * (excess - known)
+            known = self.estimate_excess(name, now)
+            mean = known + _LATEST_WEIGHT * (excess - known)
             self._excess[name] = (mean, now)
 
-    def find_excess(self, name: str, now: float) -> float:
+    def estimate_excess(self, name: str, now: float) -> float:
         """Estimate the seconds by which paths through a replica are late."""
-        mean, noted = self._excess.get(name, (0.0, now))
-        return mean * math.exp((noted - now) / EXCESS_SECONDS)
+        mean, updated = self._excess.get(name, (0.0, now))
+        return mean * math.exp((updated - now) / EXCESS_DECAY_SECONDS)
 
     def list_excess(self, now: float) -> dict[str, float]:
         """List the replicas whose paths are late, and by how much."""
-        return {name: self.find_excess(name, now) for name in self._excess}
+        return {name: self.estimate_excess(name, now) for name in self._excess}
 
     def keep(self, names: Container[str]) -> None:
         """Forget what was noted of all replicas but some."""
         self._excess = {
-            name: noted for name, noted in self._excess.items() if name in names
+            name: excess
+            for name, excess in self._excess.items()
+            if name in names
         }
         self._means = {
             name: mean for name, mean in self._means.items() if name in names
@@ -123,7 +125,7 @@
     def add(self, path: Iterable[Stage], tokens: int, now: float) -> None:
         """Note a request that was sent on a path."""
         for stage in path:
-            self._settle(stage.replica.name, now)
+            self._update_mean(stage.replica.name, now)
             self.requests[stage.replica.name] += 1
             self.tokens[stage.replica.name] += tokens
 
@@ -131,7 +133,7 @@
         """Note the end of a request."""
         for stage in path:
             name = stage.replica.name
-            self._settle(name, now)
+            self._update_mean(name, now)
             self.requests[name] -= 1
             self.tokens[name] -= tokens
             if self.requests[name] <= 0:
@@ -145,8 +147,8 @@
         many as this one has had lately: clients come to all alike.
         """
         for name in self._means:
-            self._settle(name, now)
-        others = (self._nodes - 1) / self._find_maturity(now)
+            self._update_mean(name, now)
+        others = (self._nodes - 1) / self._compute_maturity(now)
         return LoadEstimate(
             {
                 name: self.requests[name] + others * mean.requests
@@ -156,33 +158,35 @@
                 name: self.tokens[name] + others * mean.tokens
                 for name, mean in self._means.items()
             },
-            self._find_doubt(now),
+            self._compute_uncertainty(now),
         )
 
-    def _find_doubt(self, now: float) -> float:
+    def _compute_uncertainty(self, now: float) -> float:
         """Tell how little this node knows yet of what the others send."""
-        began = now if self._began is None else self._began
-        learning = max(DOUBT_SECONDS, MEAN_SECONDS * self._nodes)
-        return math.exp((began - now) / learning)
+        started_at = now if self._started_at is None else self._started_at
+        learning = max(
+            MIN_LEARNING_SECONDS, MEAN_SECONDS_PER_NODE * self._nodes
+        )
+        return math.exp((started_at - now) / learning)
 
-    def _find_maturity(self, now: float) -> float:
+    def _compute_maturity(self, now: float) -> float:
         """Tell how much of their final value means have reached.
 
         They begin at nothing. When sixty nodes have just been started
         together, the first seconds of means alone told each of them that
         the others had nothing, and all sent to the same few replicas.
         """
-        if self._began is None:
-            self._began = now
-        age = now - self._began
-        following = MEAN_SECONDS * self._nodes
-        return max(_LEAST_MATURITY, 1 - math.exp(-age / following))
+        if self._started_at is None:
+            self._started_at = now
+        age = now - self._started_at
+        time_constant = MEAN_SECONDS_PER_NODE * self._nodes
+        return max(_MIN_MATURITY, 1 - math.exp(-age / time_constant))
 
-    def _settle(self, name: str, now: float) -> None:
+    def _update_mean(self, name: str, now: float) -> None:
         """Bring a replica's mean up to now."""
         mean = self._means.setdefault(name, _Mean(0, 0, now))
-        following = MEAN_SECONDS * self._nodes
-        weight = 1 - math.exp((mean.noted - now) / following)
+        time_constant = MEAN_SECONDS_PER_NODE * self._nodes
+        weight = 1 - math.exp((mean.updated - now) / time_constant)
         mean.requests += weight * (self.requests[name] - mean.requests)
         mean.tokens += weight * (self.tokens[name] - mean.tokens)
-        mean.noted = now
+        mean.updated = now
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
@@ -14,7 +14,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ryelatch_core.fleet._prices import PathQuery, price_entry, rate_replicas
+from ryelatch_core.fleet._prices import (
+    PathQuery,
+    estimate_entry_cost,
+    estimate_layer_costs,
+)
 from ryelatch_core.fleet._types import LayerRange, Replica, Stage
 
 HOP_SECONDS = 0.0003
@@ -40,31 +44,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Hops:
+class _HopCosts:
     """What changes of replica cost a request, in seconds."""
 
-    within: float
+    hop_seconds: float
 
-    def price(self, before: Replica, after: Replica) -> float:
+    def estimate(self, previous: Replica, following: Replica) -> float:
         """Price the way from one replica to the next."""
-        if before.name == after.name:
+        if previous.name == following.name:
             return 0
-        crossing = 0 if before.zone == after.zone else CROSSING_SECONDS
-        return self.within + crossing
+        crossing = 0 if previous.zone == following.zone else CROSSING_SECONDS
+        return self.hop_seconds + crossing
 
 
 @dataclass(slots=True)
-class _Way:
+class _PartialPath:
     """The best way found to a place between layers."""
 
     cost: float
     replica: Replica
     first: int
-    before: '_Way | None'
+    previous: '_PartialPath | None'
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
+class _PricedPath:
     """A path and its expected seconds."""
 
     cost: float
@@ -88,9 +92,9 @@
         and replica.name not in query.avoid
         and replica.accelerator in query.profile.accelerators
     ]
-    versions = sorted({one.version for one in usable}, reverse=True)
+    versions = sorted({candidate.version for candidate in usable}, reverse=True)
     groups = [
-        [one for one in usable if one.version == version]
+        [candidate for candidate in usable if candidate.version == version]
         for version in versions
     ]
     # The pipe between zones is shared by all requests, and a path that
@@ -103,11 +107,16 @@
             return found.path
     if not query.crosses:
         return ()
-    found = next(filter(None, (_search(one, query) for one in groups)), None)
+    found = next(
+        filter(
+            None, (_find_cheapest_path(members, query) for members in groups)
+        ),
+        None,
+    )
     return found.path if found else ()
 
 
-def _search_zones(group: list[Replica], query: PathQuery) -> _Found | None:
+def _search_zones(group: list[Replica], query: PathQuery) -> _PricedPath | None:
     """Find the cheapest path that stays in its zone.
 
     Zones are searched one by one: a path is sought among a third of the
@@ -118,9 +127,11 @@
     for replica in group:
         zones.setdefault(replica.zone, []).append(replica)
     ordered = _order_zones(zones, query)
-    for some in (ordered[:SEARCHED_ZONES], ordered[SEARCHED_ZONES:]):
-        found = [_search(zones[name], query) for name in some]
-        best = min(filter(None, found), key=lambda one: one.cost, default=None)
+    for names in (ordered[:SEARCHED_ZONES], ordered[SEARCHED_ZONES:]):
+        found = [_find_cheapest_path(zones[name], query) for name in names]
+        best = min(
+            filter(None, found), key=lambda priced: priced.cost, default=None
+        )
         if best is not None:
             return best
     return None
@@ -133,105 +144,117 @@
     )
 
 
-def _search(usable: list[Replica], query: PathQuery) -> _Found | None:
-    costs = rate_replicas(usable, query)
+def _find_cheapest_path(
+    usable: list[Replica], query: PathQuery
+) -> _PricedPath | None:
+    costs = estimate_layer_costs(usable, query)
     offered = [replica for replica in usable if replica.name in costs]
     for hop_factor in (1, 100, 10_000):
-        hops = _Hops(HOP_SECONDS * hop_factor * query.answer)
-        way = _find_way(offered, costs, query, hops)
-        path = _unwind(way, query.profile.layers)
+        hop_costs = _HopCosts(HOP_SECONDS * hop_factor * query.answer)
+        partial = _find_cheapest_partial(offered, costs, query, hop_costs)
+        path = _join_stages(partial, query.profile.layers)
         names = {stage.replica.name for stage in path}
         # A replica that comes twice is refused by the upstreams. It shows
         # where leaving it for a faster one and coming back looks cheaper
         # than staying; with dearer hops staying wins.
-        if way and len(names) == len(path):
-            return _Found(way.cost, path)
+        if partial and len(names) == len(path):
+            return _PricedPath(partial.cost, path)
     return None
 
 
-def _find_way(
+def _find_cheapest_partial(
     usable: list[Replica],
-    rates: Mapping[str, float],
+    layer_costs: Mapping[str, float],
     query: PathQuery,
-    hops: _Hops,
-) -> _Way | None:
+    hop_costs: _HopCosts,
+) -> _PartialPath | None:
     """Find the cheapest way through all layers."""
     layers = query.profile.layers
     head = query.head
     fixed = {head.layers.end} if head else set()
-    cuts = sorted(
+    boundaries = sorted(
         {0, layers}
         | fixed
         | {
-            edge
+            boundary
             for replica in usable
             if replica.layers is not None
-            for edge in (replica.layers.first, replica.layers.end)
-            if edge <= layers
+            for boundary in (replica.layers.first, replica.layers.end)
+            if boundary <= layers
         }
     )
-    ways: list[_Way] = []
-    for first, end in itertools.pairwise(cuts):
+    partials: list[_PartialPath] = []
+    for first, end in itertools.pairwise(boundaries):
         part = LayerRange(first, end)
         holders = [
             replica
             for replica in usable
             if replica.layers is not None
             and replica.layers.covers(part)
-            and _fits_head(replica, part, head)
+            and _fits_first_stage(replica, part, head)
         ]
-        ways = [
-            way
+        partials = [
+            partial
             for replica in holders
-            if (way := _extend(ways, replica, part, rates, query, hops))
+            if (
+                partial := _extend(
+                    partials, replica, part, layer_costs, query, hop_costs
+                )
+            )
         ]
-        if not ways:
+        if not partials:
             return None
-    return min(ways, key=lambda way: way.cost, default=None)
+    return min(partials, key=lambda partial: partial.cost, default=None)
 
 
-def _fits_head(replica: Replica, part: LayerRange, head: Stage | None) -> bool:
+def _fits_first_stage(
+    replica: Replica, part: LayerRange, head: Stage | None
+) -> bool:
     """Whether a replica may run a part beside a stage that is given.
 
     The first replica of a stream keeps its own part when it is moved.
     """
     if head is None:
         return True
-    is_head = replica.name == head.replica.name
-    return is_head == (part.end <= head.layers.end)
+    is_first = replica.name == head.replica.name
+    return is_first == (part.end <= head.layers.end)
 
 
 def _extend(
-    ways: list[_Way],
+    partials: list[_PartialPath],
     replica: Replica,
     part: LayerRange,
-    rates: Mapping[str, float],
+    layer_costs: Mapping[str, float],
     query: PathQuery,
-    hops: _Hops,
-) -> _Way | None:
+    hop_costs: _HopCosts,
+) -> _PartialPath | None:
     """Find the best way over a part that ends at a replica."""
-    own = rates[replica.name] * len(part)
+    run_cost = layer_costs[replica.name] * len(part)
     if part.first == 0:
         if replica.name in query.closed:
             return None
-        return _Way(price_entry(replica, query) + own, replica, 0, None)
-    best: _Way | None = None
-    least = float('inf')
-    for way in ways:
-        cost = way.cost + hops.price(way.replica, replica)
-        if cost < least:
-            best, least = way, cost
+        return _PartialPath(
+            estimate_entry_cost(replica, query) + run_cost, replica, 0, None
+        )
+    best: _PartialPath | None = None
+    min_cost = float('inf')
+    for partial in partials:
+        cost = partial.cost + hop_costs.estimate(partial.replica, replica)
+        if cost < min_cost:
+            best, min_cost = partial, cost
     if best is None:
         return None
-    return _Way(least + own, replica, part.first, best)
+    return _PartialPath(min_cost + run_cost, replica, part.first, best)
 
 
-def _unwind(way: _Way | None, layers: int) -> tuple[Stage, ...]:
+def _join_stages(
+    partial: _PartialPath | None, layers: int
+) -> tuple[Stage, ...]:
     """Join the parts of a way into stages, one a replica in a row."""
-    parts: list[_Way] = []
-    while way is not None:
-        parts.append(way)
-        way = way.before
+    parts: list[_PartialPath] = []
+    while partial is not None:
+        parts.append(partial)
+        partial = partial.previous
     runs = [
         next(run)
         for _, run in itertools.groupby(
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -36,24 +36,24 @@
     profile: ModelProfile,
     accelerator: Accelerator,
     layers: int,
-    writers: float,
+    sequences: float,
 ) -> float:
     """Estimate the seconds of one token step over some layers.
 
-    :param writers: requests that the replica writes for at once.
+    :param sequences: requests that the replica writes for at once.
     """
-    whole = profile.step_ms + writers * profile.writer_ms
-    share = layers / profile.layers
-    return whole * accelerator.step_factor * share / _MS
+    total = profile.step_ms + sequences * profile.writer_ms
+    fraction = layers / profile.layers
+    return total * accelerator.step_factor * fraction / _MS
 
 
-def estimate_reading(
+def estimate_prefill(
     profile: ModelProfile,
     accelerator: Accelerator,
     layers: int,
     tokens: float,
 ) -> float:
     """Estimate the seconds of reading a prompt through some layers."""
-    share = layers / profile.layers
-    whole = tokens / profile.read_per_ms
-    return whole * accelerator.read_factor * share / _MS
+    fraction = layers / profile.layers
+    total = tokens / profile.read_per_ms
+    return total * accelerator.read_factor * fraction / _MS
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from ryelatch_core.fleet._copies import lay_anew, lay_copies
+from ryelatch_core.fleet._copies import place_copies, relayout_pool
 from ryelatch_core.fleet._pool import (
     Move,
     PoolPlan,
@@ -25,9 +25,9 @@
 )
 from ryelatch_core.fleet._release import list_releases
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
-from ryelatch_core.fleet._zones import LEAST_ROOM, make_pools
+from ryelatch_core.fleet._zones import MIN_HEADROOM, make_pools
 
-_AMPLE_ROOMS = (110, 80, 60, 44)
+_AMPLE_HEADROOMS = (110, 80, 60, 44)
 """Rooms that a repair leaves to the replicas that it changes, best first.
 
 Two neighbours that take a half of a gap each keep more room than one that
@@ -35,13 +35,13 @@
 another zone is out.
 """
 
-_SCARCE_ROOMS = (30, 20, LEAST_ROOM)
+_SCARCE_HEADROOMS = (30, 20, MIN_HEADROOM)
 """The same where no ample room can be left."""
 
-_WINDOW_ROOMS = (150, 110, 80, 60, 44, 30, 20, 8)
+_RANGE_HEADROOMS = (150, 110, 80, 60, 44, 30, 20, 8)
 """Rooms for which ranges are tried in a step; more finds little more."""
 
-_WORTH = 0.045
+_MIN_BENEFIT = 0.045
 """Share of a plan's weight that a step must save.
 
 Where all layers of one copy have about the same room, one more replica saves
@@ -49,21 +49,21 @@
 100 more.
 """
 
-_SPARE_WORTH = 0.1
+_MIN_SPARE_BENEFIT = 0.1
 """The same for a step that uses one of the last empty replicas.
 
 These are for losses to come: where neighbours have closed a gap, or one has
 come back empty, it saves 15 in 100 and more.
 """
 
-_SPARED_SHARE = 0.066
+_SPARE_FRACTION = 0.066
 """Share of a pool whose replicas are the last empty ones, one at least.
 
 A replica in fifteen is lost at a time, mostly; the smallest pools are as
 large.
 """
 
-_MOST_MOVES = 8
+_MAX_MOVES = 8
 """Orders after which no further step is planned at once for a pool.
 
 More than six loads at a time make each of them slower; a step of three
@@ -110,7 +110,7 @@
     thorough: bool,
 ) -> list[Move]:
     if not any(replica.layers for replica in pool):
-        return lay_copies(pool, profile)
+        return place_copies(pool, profile)
     return _improve(pool, profile, thorough=thorough)
 
 
@@ -127,78 +127,81 @@
     pass have ended, ten seconds later at most.
     """
     moves: list[Move] = []
-    for room, moves_spared in (
-        *itertools.product(_AMPLE_ROOMS, (False,)),
-        *itertools.product(_AMPLE_ROOMS + _SCARCE_ROOMS, (True,)),
+    for headroom, moves_redundant in (
+        *itertools.product(_AMPLE_HEADROOMS, (False,)),
+        *itertools.product(_AMPLE_HEADROOMS + _SCARCE_HEADROOMS, (True,)),
     ):
         plan = PoolPlan(pool, profile)
-        terms = _Terms(room, thorough, moves_spared)
-        moves = _take_steps(pool, plan, terms)
+        options = _StepOptions(headroom, thorough, moves_redundant)
+        moves = _take_steps(pool, plan, options)
         if plan.find_gap() is None:
             return moves
-    return lay_anew(pool, profile) if thorough else moves
+    return relayout_pool(pool, profile) if thorough else moves
 
 
 @dataclass(frozen=True, slots=True)
-class _Terms:
+class _StepOptions:
     """What the steps of a plan may do.
 
-    :param room: usual requests for which a changed replica keeps room.
+    :param headroom: usual requests for which a changed replica keeps room.
     :param thorough: whether gaps have lasted.
-    :param moves_spared: whether replicas may move that stand in for others.
+    :param moves_redundant: whether replicas may move that stand in for others.
     """
 
-    room: int
+    headroom: int
     thorough: bool
-    moves_spared: bool
+    moves_redundant: bool
 
 
 def _take_steps(
     pool: list[Replica],
     plan: PoolPlan,
-    terms: _Terms,
+    options: _StepOptions,
 ) -> list[Move]:
     """Take the steps that help most, one a replica."""
     moves: dict[str, Move] = {}
-    while len(moves) < _MOST_MOVES:
-        weight = plan.weigh()
-        free = [one for one in pool if one.name not in moves]
+    while len(moves) < _MAX_MOVES:
+        cost = plan.compute_cost()
+        free = [replica for replica in pool if replica.name not in moves]
         steps = itertools.chain(
-            _list_single_steps(free, plan, terms),
+            _list_single_steps(free, plan, options),
             list_releases(
-                free, plan, terms.room, moves_spared=terms.moves_spared
+                free,
+                plan,
+                options.headroom,
+                moves_redundant=options.moves_redundant,
             ),
         )
-        options = [(plan.rate(step), step) for step in steps]
-        best = max(options, key=lambda pair: pair[0], default=None)
-        if best is None or best[0] < weight * _find_worth(plan):
+        savings = [(plan.compute_saving(step), step) for step in steps]
+        best = max(savings, key=lambda pair: pair[0], default=None)
+        if best is None or best[0] < cost * _choose_min_benefit(plan):
             break
         plan.apply(best[1])
         moves.update((move.replica.name, move) for move in best[1])
     return list(moves.values())
 
 
-def _find_worth(plan: PoolPlan) -> float:
+def _choose_min_benefit(plan: PoolPlan) -> float:
     """Find the share of the weight that the next step must save."""
     empty = sum(layers is None for layers in plan.held.values())
-    few = empty <= max(1, int(len(plan.held) * _SPARED_SHARE))
-    return _SPARE_WORTH if few else _WORTH
+    few_spares = empty <= max(1, int(len(plan.held) * _SPARE_FRACTION))
+    return _MIN_SPARE_BENEFIT if few_spares else _MIN_BENEFIT
 
 
 def _list_single_steps(
     free: Iterable[Replica],
     plan: PoolPlan,
-    terms: _Terms,
+    options: _StepOptions,
 ) -> Iterator[Step]:
     for replica in free:
-        for move in _list_steps(replica, plan, terms):
+        for move in _list_steps(replica, plan, options):
             yield (move,)
 
 
 def _list_steps(
     replica: Replica,
     plan: PoolPlan,
-    terms: _Terms,
+    options: _StepOptions,
 ) -> Iterator[Move]:
     """List the ranges that a replica may be ordered to hold next.
 
@@ -209,19 +212,19 @@
     layers = plan.held[replica.name]
     gap = plan.find_gap()
     if layers is None:
-        yield from _list_windows(replica, plan, terms.room, gap)
+        yield from _list_ranges(replica, plan, options.headroom, gap)
     elif gap is not None:
-        most = fit_replica(replica, plan.profile, terms.room)
-        yield from _list_growths(replica, layers, most, gap)
-        moves = terms.thorough and terms.moves_spared
-        if moves and plan.is_spared(replica):
-            yield from _list_windows(replica, plan, terms.room, gap)
+        max_layers = fit_replica(replica, plan.profile, options.headroom)
+        yield from _list_extensions(replica, layers, max_layers, gap)
+        moves = options.thorough and options.moves_redundant
+        if moves and plan.is_redundant(replica):
+            yield from _list_ranges(replica, plan, options.headroom, gap)
 
 
-def _list_windows(
+def _list_ranges(
     replica: Replica,
     plan: PoolPlan,
-    room: float,
+    headroom: float,
     gap: LayerRange | None,
 ) -> Iterator[Move]:
     """List ranges for an empty replica that keep at least some room.
@@ -230,27 +233,27 @@
     closes half of a gap and then fits fourteen requests holds up the zone.
     """
     profile = plan.profile
-    rooms = [one for one in _WINDOW_ROOMS if one >= room]
-    sizes = {fit_replica(replica, profile, one) for one in rooms}
+    headrooms = [tried for tried in _RANGE_HEADROOMS if tried >= headroom]
+    sizes = {fit_replica(replica, profile, tried) for tried in headrooms}
     for size in sorted(sizes - {0}):
         last = profile.layers - size
         for first in range(max(0, last) + 1):
-            window = LayerRange(first, min(first + size, profile.layers))
-            if gap is None or _touches(window, gap):
-                yield Move(replica, window)
+            layers = LayerRange(first, min(first + size, profile.layers))
+            if gap is None or _overlaps(layers, gap):
+                yield Move(replica, layers)
 
 
-def _touches(window: LayerRange, gap: LayerRange) -> bool:
-    return window.first < gap.end and gap.first < window.end
+def _overlaps(layers: LayerRange, gap: LayerRange) -> bool:
+    return layers.first < gap.end and gap.first < layers.end
 
 
-def _list_growths(
+def _list_extensions(
     replica: Replica,
     layers: LayerRange,
-    most: int,
+    max_layers: int,
     gap: LayerRange,
 ) -> Iterator[Move]:
-    for size in range(len(layers) + 1, most + 1):
+    for size in range(len(layers) + 1, max_layers + 1):
         added = size - len(layers)
         if layers.end == gap.first and added <= len(gap):
             yield Move(replica, LayerRange(layers.first, layers.end + added))
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
@@ -8,10 +8,10 @@
 from ryelatch_core.fleet._performance import estimate_capacity, fit_layers
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
 
-_MISSING = 1000.0
+_MISSING_LAYER_COST = 1000.0
 """Weight of a layer that nobody holds, in layers with room for one request."""
 
-HEAD_SHARE = 0.3
+FIRST_REPLICA_COST_RATIO = 0.3
 """Weight of one replica alone that begins all paths of a pool.
 
 In shares of a copy's weight. Its loss cuts off all streams of the pool, and
@@ -31,22 +31,24 @@
 """Orders that only make sense together."""
 
 
-def fit_replica(replica: Replica, profile: ModelProfile, room: float) -> int:
+def fit_replica(
+    replica: Replica, profile: ModelProfile, headroom: float
+) -> int:
     """Count the layers that a replica may hold beside a number of requests.
 
-    :param room: usual requests in progress for which memory is kept.
+    :param headroom: usual requests in progress for which memory is kept.
     """
     accelerator = profile.accelerators[replica.accelerator]
-    return fit_layers(profile, accelerator, room)
+    return fit_layers(profile, accelerator, headroom)
 
 
 def fit_pool(
     pool: Iterable[Replica],
     profile: ModelProfile,
-    room: float,
+    headroom: float,
 ) -> list[int]:
     """Count the layers that each replica of a pool may hold."""
-    return [fit_replica(one, profile, room) for one in pool]
+    return [fit_replica(replica, profile, headroom) for replica in pool]
 
 
 class PoolPlan:
@@ -54,17 +56,19 @@
 
     def __init__(self, pool: list[Replica], profile: ModelProfile) -> None:
         self.profile = profile
-        self.held = {one.name: one.layers for one in pool}
+        self.held = {member.name: member.layers for member in pool}
         self.tokens = list(itertools.repeat(0.0, profile.layers))
-        self._usual = profile.usual_prompt + profile.usual_answer
-        self._heads = 0
-        self._head_weight = HEAD_SHARE * self._weigh_even(pool)
+        self._typical_tokens = profile.usual_prompt + profile.usual_answer
+        self._first_replicas = 0
+        self._first_replica_cost = (
+            FIRST_REPLICA_COST_RATIO * self._compute_even_cost(pool)
+        )
         for replica in pool:
             self._add(replica, replica.layers, 1)
 
-    def weigh(self) -> float:
+    def compute_cost(self) -> float:
         """Weigh the layers of the plan; less is better."""
-        return sum(map(self._weigh_layer, self.tokens))
+        return sum(map(self._compute_layer_cost, self.tokens))
 
     def find_gap(self) -> LayerRange | None:
         """Find the first range of layers that nobody holds."""
@@ -78,34 +82,34 @@
         )
         return LayerRange(missing[0], missing[0] + len(list(run)))
 
-    def is_spared(self, replica: Replica) -> bool:
+    def is_redundant(self, replica: Replica) -> bool:
         """Whether others hold all layers that a replica holds."""
         layers = self.held[replica.name]
         if layers is None:
             return True
-        room = self._find_room(replica, layers)
+        capacity = self._find_capacity(replica, layers)
         held = self.tokens[layers.first : layers.end]
-        return all(tokens > room + 1 for tokens in held)
+        return all(tokens > capacity + 1 for tokens in held)
 
-    def rate(self, step: Step) -> float:
+    def compute_saving(self, step: Step) -> float:
         """Tell how much a step would save."""
         held = [self.held[move.replica.name] for move in step]
         changed = [move.layers for move in step] + list(filter(None, held))
-        first = min(one.first for one in changed)
-        end = max(one.end for one in changed)
+        first = min(part.first for part in changed)
+        end = max(part.end for part in changed)
         before = list(self.tokens)
-        heads = self._heads
-        saved = self._weigh_heads()
+        first_replicas = self._first_replicas
+        saved = self._compute_first_replica_cost()
         self.apply(step)
-        saved -= self._weigh_heads()
-        saved += sum(map(self._weigh_layer, before[first:end]))
-        saved -= sum(map(self._weigh_layer, self.tokens[first:end]))
+        saved -= self._compute_first_replica_cost()
+        saved += sum(map(self._compute_layer_cost, before[first:end]))
+        saved -= sum(map(self._compute_layer_cost, self.tokens[first:end]))
         self.held.update(
             (move.replica.name, layers)
             for move, layers in zip(step, held, strict=True)
         )
         self.tokens = before
-        self._heads = heads
+        self._first_replicas = first_replicas
         return saved
 
     def apply(self, step: Step) -> None:
@@ -127,33 +131,37 @@
         if layers is None:
             return
         if not layers.first:
-            self._heads += sign
-        room = self._find_room(replica, layers) * sign
+            self._first_replicas += sign
+        capacity = self._find_capacity(replica, layers) * sign
         for layer in range(layers.first, min(layers.end, len(self.tokens))):
-            self.tokens[layer] += room
+            self.tokens[layer] += capacity
 
-    def _find_room(self, replica: Replica, layers: LayerRange) -> float:
+    def _find_capacity(self, replica: Replica, layers: LayerRange) -> float:
         accelerator = self.profile.accelerators[replica.accelerator]
         return estimate_capacity(self.profile, accelerator, layers)
 
-    def _weigh_heads(self) -> float:
+    def _compute_first_replica_cost(self) -> float:
         """Weigh the risk that the replicas that begin paths are lost."""
-        return self._head_weight / max(1, self._heads) ** 2
+        return self._first_replica_cost / max(1, self._first_replicas) ** 2
 
-    def _weigh_even(self, pool: list[Replica]) -> float:
+    def _compute_even_cost(self, pool: list[Replica]) -> float:
         """Weigh a copy for which a pool's memory is spread evenly."""
         profile = self.profile
         memory = sum(
-            profile.accelerators[one.accelerator].memory_mb for one in pool
+            profile.accelerators[replica.accelerator].memory_mb
+            for replica in pool
         )
         free = memory / profile.layers - profile.layer_mb
         if free <= 0:
             return 0
-        return profile.layers * (self._usual * profile.cache_mb / free) ** 2
+        return (
+            profile.layers
+            * (self._typical_tokens * profile.cache_mb / free) ** 2
+        )
 
-    def _weigh_layer(self, tokens: float) -> float:
+    def _compute_layer_cost(self, tokens: float) -> float:
         if tokens <= 1:
-            return _MISSING
+            return _MISSING_LAYER_COST
         # Squared, as every request passes through all layers: one layer with
         # little room holds up the pool however much the others have.
-        return float((self._usual / tokens) ** 2)
+        return float((self._typical_tokens / tokens) ** 2)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -11,19 +11,19 @@
 from ryelatch_core.fleet._load import NO_LOAD, LoadEstimate
 from ryelatch_core.fleet._performance import (
     estimate_capacity,
-    estimate_reading,
+    estimate_prefill,
     estimate_step,
 )
 from ryelatch_core.fleet._types import ModelProfile, Replica, Stage
 
-ENTRY_SECONDS = 0.05
+ENTRY_COST_SECONDS = 0.05
 """What a path that begins in another zone is taken to cost a request.
 
 Only the prompt's text and the events cross, and each event comes half a
 millisecond later; it matters where all else is alike.
 """
 
-_CROWDED = 2.0
+_MAX_FULLNESS = 2.0
 """Estimated share of a replica's memory beyond which more changes nothing.
 
 The estimate takes all nodes to send as much as this one, but clients are
@@ -50,7 +50,7 @@
 
 _SLOTS_POWER = 4
 
-_LEAST_DOUBT = 0.01
+_MIN_UNCERTAINTY = 0.01
 """Doubt below which a node goes by what it knows alone."""
 
 _JITTER = 0.15
@@ -95,24 +95,28 @@
     crosses: bool = True
 
 
-def rate_replicas(usable: list[Replica], query: PathQuery) -> dict[str, float]:
+def estimate_layer_costs(
+    usable: list[Replica], query: PathQuery
+) -> dict[str, float]:
     """Estimate the seconds that a request takes for each layer there.
 
     Replicas that this node alone fills are left out.
     """
-    rates: dict[str, float] = {}
+    layer_costs: dict[str, float] = {}
     for replica in usable:
-        room = _estimate_room(replica, query)
-        own = query.own_tokens.get(replica.name, 0)
-        wanted = query.prompt + query.answer
-        if own + wanted <= room:
-            taken = query.load.tokens.get(replica.name, 0)
-            fullness = (taken + wanted) / room
-            rates[replica.name] = _rate_one(replica, query, fullness)
-    return rates
-
-
-def _estimate_room(replica: Replica, query: PathQuery) -> float:
+        capacity = _estimate_capacity(replica, query)
+        local_tokens = query.own_tokens.get(replica.name, 0)
+        needed = query.prompt + query.answer
+        if local_tokens + needed <= capacity:
+            load = query.load.tokens.get(replica.name, 0)
+            fullness = (load + needed) / capacity
+            layer_costs[replica.name] = _estimate_layer_cost(
+                replica, query, fullness
+            )
+    return layer_costs
+
+
+def _estimate_capacity(replica: Replica, query: PathQuery) -> float:
     profile = query.profile
     assert replica.layers is not None
     return estimate_capacity(
@@ -120,23 +124,25 @@
     )
 
 
-def _rate_one(replica: Replica, query: PathQuery, fullness: float) -> float:
+def _estimate_layer_cost(
+    replica: Replica, query: PathQuery, fullness: float
+) -> float:
     profile = query.profile
     accelerator = profile.accelerators[replica.accelerator]
-    writers = query.load.requests.get(replica.name, 0)
-    step = estimate_step(profile, accelerator, 1, writers)
-    reading = estimate_reading(profile, accelerator, 1, query.prompt)
-    crowding = 1 + min(fullness, _CROWDED) ** 2
-    noise = _draw_noise(query)
+    sequences = query.load.requests.get(replica.name, 0)
+    step = estimate_step(profile, accelerator, 1, sequences)
+    prefill = estimate_prefill(profile, accelerator, 1, query.prompt)
+    crowding = 1 + min(fullness, _MAX_FULLNESS) ** 2
+    noise = _sample_noise(query)
     if replica.name in query.kept:
-        reading = 0
+        prefill = 0
         noise = 1
     late = query.excess.get(replica.name, 0) * EXCESS_WEIGHT / profile.layers
     pace = query.paces.get(replica.name, 1)
-    return (step * query.answer + reading) * pace * crowding * noise + late
+    return (step * query.answer + prefill) * pace * crowding * noise + late
 
 
-def _draw_noise(query: PathQuery) -> float:
+def _sample_noise(query: PathQuery) -> float:
     """Draw by what factor a request takes a replica to be slower.
 
     While a node knows little of the others, factors are exponential: the
@@ -145,15 +151,15 @@
     send everything to the same few.
     """
     noise = 1 + _JITTER * query.draw()
-    doubt = query.load.doubt
-    if doubt < _LEAST_DOUBT:
+    uncertainty = query.load.uncertainty
+    if uncertainty < _MIN_UNCERTAINTY:
         return noise
-    return noise * (1 - doubt) - doubt * math.log(1 - query.draw())
+    return noise * (1 - uncertainty) - uncertainty * math.log(1 - query.draw())
 
 
-def price_entry(replica: Replica, query: PathQuery) -> float:
+def estimate_entry_cost(replica: Replica, query: PathQuery) -> float:
     """Price the beginning of a path at its first replica."""
-    entry = 0 if replica.zone == query.zone else ENTRY_SECONDS
-    taken = query.load.requests.get(replica.name, 0)
-    share = min(1, taken / replica.slots)
-    return float(entry + SLOTS_SECONDS * share**_SLOTS_POWER)
+    entry = 0 if replica.zone == query.zone else ENTRY_COST_SECONDS
+    load = query.load.requests.get(replica.name, 0)
+    used_fraction = min(1, load / replica.slots)
+    return float(entry + SLOTS_SECONDS * used_fraction**_SLOTS_POWER)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_release.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_release.py
@@ -18,37 +18,39 @@
 def list_releases(
     free: Iterable[Replica],
     plan: PoolPlan,
-    room: float,
+    headroom: float,
     *,
-    moves_spared: bool,
+    moves_redundant: bool,
 ) -> Iterator[Step]:
     """List the steps that move a replica into a gap and cover what it held.
 
     :param free: replicas that may be given orders.
-    :param room: usual requests for which a changed replica keeps room.
-    :param moves_spared: whether replicas may move that stand in for others.
+    :param headroom: usual requests for which a changed replica keeps room.
+    :param moves_redundant: whether replicas may move that stand in for others.
     """
     gap = plan.find_gap()
     if gap is None:
         return
-    holders = [one for one in free if plan.held[one.name]]
+    holders = [holder for holder in free if plan.held[holder.name]]
     for replica in holders:
-        if plan.is_spared(replica) and not moves_spared:
+        if plan.is_redundant(replica) and not moves_redundant:
             continue
-        windows = list(_list_windows(replica, plan, room, gap))
-        covers = _list_covers(replica, holders, plan, room) if windows else ()
-        for cover, window in itertools.product(covers, windows):
+        ranges = list(_list_ranges(replica, plan, headroom, gap))
+        covers = (
+            _list_covers(replica, holders, plan, headroom) if ranges else ()
+        )
+        for cover, window in itertools.product(covers, ranges):
             yield (*cover, Move(replica, window))
 
 
-def _list_windows(
+def _list_ranges(
     replica: Replica,
     plan: PoolPlan,
-    room: float,
+    headroom: float,
     gap: LayerRange,
 ) -> Iterator[LayerRange]:
     """List the ranges at both ends of the gap."""
-    size = min(fit_replica(replica, plan.profile, room), len(gap))
+    size = min(fit_replica(replica, plan.profile, headroom), len(gap))
     if size:
         yield LayerRange(gap.first, gap.first + size)
         yield LayerRange(gap.end - size, gap.end)
@@ -58,22 +60,28 @@
     replica: Replica,
     holders: Iterable[Replica],
     plan: PoolPlan,
-    room: float,
+    headroom: float,
 ) -> Iterator[Step]:
     """List the growths of neighbours over what a replica holds."""
     layers = plan.held[replica.name]
     assert layers is not None
-    others = [one for one in holders if one.name != replica.name]
-    befores = [one for one in others if _reaches(plan, one, layers.first)]
-    afters = [one for one in others if _reaches(plan, one, layers.end)]
+    others = [other for other in holders if other.name != replica.name]
+    predecessors = [
+        other for other in others if _reaches(plan, other, layers.first)
+    ]
+    successors = [
+        other for other in others if _reaches(plan, other, layers.end)
+    ]
     splits = range(layers.first, layers.end + 1)
-    for before, after, split in itertools.product(befores, afters, splits):
+    for predecessor, successor, split in itertools.product(
+        predecessors, successors, splits
+    ):
         grown = (
-            _grow(before, plan, LayerRange(layers.first, split)),
-            _grow(after, plan, LayerRange(split, layers.end)),
+            _grow(predecessor, plan, LayerRange(layers.first, split)),
+            _grow(successor, plan, LayerRange(split, layers.end)),
         )
         cover = tuple(filter(None, grown))
-        if all(_fits(move, plan, room) for move in cover):
+        if all(_fits(move, plan, headroom) for move in cover):
             yield cover
 
 
@@ -93,5 +101,5 @@
     return Move(replica, grown)
 
 
-def _fits(move: Move, plan: PoolPlan, room: float) -> bool:
-    return len(move.layers) <= fit_replica(move.replica, plan.profile, room)
+def _fits(move: Move, plan: PoolPlan, headroom: float) -> bool:
+    return len(move.layers) <= fit_replica(move.replica, plan.profile, headroom)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
@@ -9,7 +9,7 @@
 
 import math
 
-PACE_SECONDS = 2.0
+RATE_SECONDS = 2.0
 """Time over which the pace of places is averaged: that of a usual answer."""
 
 RETURN_SHARE = 0.25
@@ -19,13 +19,13 @@
 time is worth four late ones to its caller.
 """
 
-LEAST_PACE = 0.5
+MIN_RATE = 0.5
 """Places a second that are expected at least, so that a turn has a time."""
 
-LEAST_SECONDS = 1.0
+MIN_DELAY_SECONDS = 1.0
 """Earliest turn: half of a usual answer, so some places are free by then."""
 
-LONGEST_SHARE = 0.333
+MAX_WAIT_FRACTION = 0.333
 """Share of what is left of a client's time beyond which it does not wait."""
 
 _SPREAD = 0.3
@@ -36,28 +36,28 @@
     """Turns for refused clients, as one node gives them."""
 
     def __init__(self) -> None:
-        self._pace = 0.0
-        self._noted = 0.0
+        self._rate = 0.0
+        self._updated = 0.0
         self._last = 0.0
 
     def note_start(self, now: float) -> None:
         """Note that a request got a place."""
-        self._pace = self._decay(now) + 1 / PACE_SECONDS
-        self._noted = now
+        self._rate = self._decay(now) + 1 / RATE_SECONDS
+        self._updated = now
 
-    def give_turn(self, now: float, left: float, chance: float) -> float:
+    def give_turn(self, now: float, left: float, sample: float) -> float:
         """Tell a refused client after how many seconds it may come back.
 
         :param left: seconds that it goes on waiting for an answer.
-        :param chance: from 0 to 1.
+        :param sample: from 0 to 1.
         """
-        pace = max(LEAST_PACE, self._decay(now) * RETURN_SHARE)
-        turn = max(now + LEAST_SECONDS, self._last + 1 / pace)
-        longest = left * LONGEST_SHARE
-        if turn - now >= longest:
-            return longest * (1 - _SPREAD * chance)
+        rate = max(MIN_RATE, self._decay(now) * RETURN_SHARE)
+        turn = max(now + MIN_DELAY_SECONDS, self._last + 1 / rate)
+        max_wait = left * MAX_WAIT_FRACTION
+        if turn - now >= max_wait:
+            return max_wait * (1 - _SPREAD * sample)
         self._last = turn
         return turn - now
 
     def _decay(self, now: float) -> float:
-        return self._pace * math.exp((self._noted - now) / PACE_SECONDS)
+        return self._rate * math.exp((self._updated - now) / RATE_SECONDS)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -25,13 +25,13 @@
 from collections.abc import Callable, Container
 from dataclasses import dataclass
 
-SHRINK_LATE = 0.85
+LATE_SHRINK_FACTOR = 0.85
 """Share of the requests in progress that a late first event leaves.
 
 Queues are short then: less than half of the objective was spent in one.
 """
 
-SHRINK_REFUSED = 0.7
+REFUSAL_SHRINK_FACTOR = 0.7
 """The same after a refusal for want of room, which comes of a full queue."""
 
 LEAST_WINDOW = 0.1
@@ -55,27 +55,27 @@
 Reading a long prompt takes 0.1 s; the rest is for the callers' own way.
 """
 
-REST_SECONDS = 0.5
+SHRINK_COOLDOWN_SECONDS = 0.5
 """Time in which a window shrinks once.
 
 The requests that were sent before it shrank are late too, and tell nothing
 of the window as it is now.
 """
 
-GROWTH = 2.0
+GROWTH_PER_ROUND = 2.0
 """By how much a window grows while as many as it holds come in time.
 
 One takes three answers' time to use what has come free, a second each.
 """
 
-GROWTH_MOST = 0.1
+MAX_GROWTH_FRACTION = 0.1
 """Share by which one request lets a window grow at most.
 
 Where two hundred nodes share the slots a window is below one; growing by a
 whole request each, all of them together overran the slots again and again.
 """
 
-_USED_SHARE = 0.7
+_MIN_USED_FRACTION = 0.7
 """Share of a window that must be in use for it to grow."""
 
 
@@ -84,7 +84,7 @@
     """A limit, and until when it does not shrink again."""
 
     limit: float
-    rests: float
+    cooldown_until: float
 
 
 class Windows:
@@ -113,11 +113,11 @@
 
         :param yields: whether the request leaves a part to others.
         """
-        share = YIELDING_SHARE if yields else 1
+        fraction = YIELDING_SHARE if yields else 1
         return frozenset(
             name
             for name, window in self._windows.items()
-            if self._is_closed(name, window.limit * share)
+            if self._is_closed(name, window.limit * fraction)
         )
 
     def read_limit(self, name: str) -> float:
@@ -137,13 +137,13 @@
         :param objective: seconds in which the caller wants it.
         """
         if seconds > objective * LATE_SHARE:
-            self._shrink(name, SHRINK_LATE, now)
+            self._shrink(name, LATE_SHRINK_FACTOR, now)
         else:
             self._grow(name)
 
     def note_full(self, name: str, now: float) -> None:
         """Note a refusal for want of room at a first replica."""
-        self._shrink(name, SHRINK_REFUSED, now)
+        self._shrink(name, REFUSAL_SHRINK_FACTOR, now)
 
     def keep(self, names: Container[str]) -> None:
         """Forget all first replicas but some."""
@@ -158,18 +158,18 @@
             return True
         return limit < 1 and self._draw() > limit
 
-    def _shrink(self, name: str, share: float, now: float) -> None:
+    def _shrink(self, name: str, fraction: float, now: float) -> None:
         window = self._windows.setdefault(name, _Window(math.inf, now))
-        if now < window.rests:
+        if now < window.cooldown_until:
             return
-        most = min(window.limit, max(1, self.requests[name]))
-        window.limit = max(LEAST_WINDOW, most * share)
-        window.rests = now + REST_SECONDS
+        used_limit = min(window.limit, max(1, self.requests[name]))
+        window.limit = max(LEAST_WINDOW, used_limit * fraction)
+        window.cooldown_until = now + SHRINK_COOLDOWN_SECONDS
 
     def _grow(self, name: str) -> None:
         window = self._windows.get(name)
         if window is None:
             return
-        if self.requests[name] >= window.limit * _USED_SHARE:
-            step = GROWTH / window.limit
-            window.limit += min(step, GROWTH_MOST * window.limit)
+        if self.requests[name] >= window.limit * _MIN_USED_FRACTION:
+            step = GROWTH_PER_ROUND / window.limit
+            window.limit += min(step, MAX_GROWTH_FRACTION * window.limit)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_zones.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_zones.py
@@ -6,7 +6,7 @@
 from ryelatch_core.fleet._pool import fit_pool
 from ryelatch_core.fleet._types import ModelProfile, Replica
 
-LEAST_ROOM = 8
+MIN_HEADROOM = 8
 """Usual requests that must fit beside the layers of a replica.
 
 Below this it refuses more than it serves, as sizes differ threefold.
@@ -24,7 +24,7 @@
         if replica.accelerator in profile.accelerators and not replica.leaving
     ]
     zones: dict[str, list[Replica]] = {}
-    for replica in sorted(usable, key=lambda one: one.name):
+    for replica in sorted(usable, key=lambda replica: replica.name):
         zones.setdefault(replica.zone, []).append(replica)
     if all(_holds_all(pool, profile) for pool in zones.values()):
         return list(zones.values())
@@ -33,4 +33,4 @@
 
 def _holds_all(pool: list[Replica], profile: ModelProfile) -> bool:
     """Whether a pool can hold all layers with the least room."""
-    return sum(fit_pool(pool, profile, LEAST_ROOM)) >= profile.layers
+    return sum(fit_pool(pool, profile, MIN_HEADROOM)) >= profile.layers
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -12,7 +12,7 @@
     make_fleet,
     make_query,
     make_replica,
-    runs_once,
+    runs_each_layer_once,
 )
 from ryelatch_core.fleet import (
     LayerRange,
@@ -58,7 +58,7 @@
         for number, (first, size, zone, kind) in enumerate(held)
     ]
     path = choose_path(replicas, make_query(seed, prompt=1, answer=1))
-    assert not path or runs_once(path)
+    assert not path or runs_each_layer_once(path)
     covered = {
         layer
         for replica in replicas
@@ -77,7 +77,7 @@
     fleet = _place()
     for zone in ('zone-a', 'zone-b', 'zone-c'):
         path = choose_path(fleet, make_query(zone=zone))
-        assert runs_once(path)
+        assert runs_each_layer_once(path)
         assert len({stage.replica.zone for stage in path}) == 1
 
 
@@ -92,7 +92,7 @@
         for zone in ('zone-a', 'zone-b', 'zone-c'):
             query = make_query(zone=zone, avoid=frozenset((lost.name,)))
             path = choose_path(fleet, query)
-            assert runs_once(path)
+            assert runs_each_layer_once(path)
             assert lost.name not in {stage.replica.name for stage in path}
 
 
@@ -122,7 +122,7 @@
     first = Stage(head, LayerRange(0, 8))
     query = make_query(head=first, avoid=frozenset(('lost',)))
     path = choose_path([head, faster, lost, *spares], query)
-    assert runs_once(path)
+    assert runs_each_layer_once(path)
     assert path[0] == first
 
 
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -62,5 +62,5 @@
     """A node that has run for a while goes by what it knows."""
     load = LoadBook()
     load.share_among(_NODES)
-    assert load.estimate(10).doubt > 1 - _SLIGHT
-    assert load.estimate(40).doubt < _SLIGHT
+    assert load.estimate(10).uncertainty > 1 - _SLIGHT
+    assert load.estimate(40).uncertainty < _SLIGHT
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -74,7 +74,7 @@
     return PathQuery(**fields)  # type: ignore[arg-type]
 
 
-def runs_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
+def runs_each_layer_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
     """Whether a path runs each layer once and in order."""
     run = [
         layer
