--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Engines that hold ranges of layers: what they can do, who holds what."""
+"""Placement of model layers on replicas, and choice of paths through them."""
 
 from ryelatch_core.fleet._accounts import AccountBook
 from ryelatch_core.fleet._durations import DurationBook
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
@@ -1,44 +1,45 @@
-"""Which client accounts have more in progress than their share.
-
-Answers the pattern in which one account sends many times its usual while the
-others send what they always do. Served in the order in which requests come,
-the others get a part of the places that shrinks with the surge. Here an
-account beyond its share may use only a part of each window, so that those
-below theirs find the rest of it free; the share is what each would have if
-all that are active had the same.
+"""Detects client accounts that have more requests in progress than their share.
+
+When one account sends many times its usual traffic and requests are served in
+order of arrival, the other accounts get fewer places the larger the surge is.
+An account above its share may therefore use only a part of each concurrency
+window, and the remainder stays free for the accounts below theirs. The share
+of an account is the number of requests in progress at this node, divided by
+the number of accounts that have any.
 """
 
 from collections import Counter
 
 BEYOND_SHARE = 2.5
-"""How many times its equal share an account has when it is beyond it.
+"""Multiple of its equal share above which an account is limited.
 
-Accounts differ: the largest of ten mostly has twice an equal share. Below this,
-accounts that do as always were refused more than others in each surge.
+Accounts differ in size: the largest of ten mostly has twice an equal share.
+With a lower limit, accounts with unchanged traffic were refused more often
+than others in each surge.
 """
 
 _MIN_REQUESTS = 3
-"""Requests in progress below which no account is heavy."""
+"""Requests in progress below which no account is limited."""
 
 
 class AccountBook:
-    """What each client account has in progress at this node."""
+    """Counts the requests of each client account in progress at this node."""
 
     def __init__(self) -> None:
         self._requests: Counter[str] = Counter()
 
     def add(self, account: str) -> None:
-        """Note a request that got a place."""
+        """Record a request that was admitted."""
         self._requests[account] += 1
 
     def remove(self, account: str) -> None:
-        """Note its end."""
+        """Record that an admitted request has finished."""
         self._requests[account] -= 1
         if self._requests[account] <= 0:
             del self._requests[account]
 
     def is_heavy(self, account: str) -> bool:
-        """Whether an account has more than its share."""
+        """Return whether an account exceeds its share."""
         requests = self._requests.get(account, 0)
         active = len(self._requests)
         if requests < _MIN_REQUESTS or active < 2:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -1,9 +1,10 @@
-"""Lays whole copies of a model over the replicas of a pool.
+"""Places complete copies of a model on the replicas of a pool.
 
-A stream that loses another replica of its path is moved; one that loses its
-first replica is cut off, and so are all that began there. So the first layers
-are held by the smallest replicas, which others can stand in for soonest, and
-twice where a pool has one copy: no single loss leaves it without a beginning.
+A stream that loses a later replica of its path is moved to another one. A
+stream that loses its first replica is cut off, together with all streams that
+began there. The first layers are therefore placed on the smallest replicas,
+since few layers are loaded elsewhere soonest. A pool with a single copy holds
+them twice, so that no single loss leaves it without a first replica.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,32 +16,32 @@
 from ryelatch_core.fleet._zones import MIN_HEADROOM
 
 _MAX_HEADROOM = 200
-"""Most usual requests for which a replica keeps room; slots end at 192."""
+"""Largest headroom that is tried; a replica has at most 192 slots."""
 
 _HEADROOMS = range(_MAX_HEADROOM, MIN_HEADROOM - 1, -4)
-"""Usual requests for which a replica keeps room, tried from the most."""
+"""Headrooms that are tried for the replicas of a copy, largest first."""
 
 _RESERVE_SHARE = 0.65
-"""Share of a copy's room that must be left beside what is held in reserve.
+"""Fraction of a copy's headroom that must remain when replicas are reserved.
 
-Below that callers wait for places on a calm day.
+With less than this, requests wait for places under normal load.
 """
 
 _SPARE_REPLICAS = 1
-"""Replicas of a pool that a first plan leaves empty.
+"""Number of replicas of a pool that the first plan leaves empty.
 
-An empty replica takes over a lost one's layers in the time of one load. One
-that serves must first wait for the requests that pass through what it gives
-up, and these last up to ten seconds.
+An empty replica takes over the layers of a lost one in the time of one load. A
+serving replica must first wait for the requests that pass through the layers
+that it gives up, which takes up to ten seconds.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _Roles:
-    """What each replica of a row is for.
+    """Roles of the replicas of one copy.
 
-    :param holders: hold the layers, one after the other; some of the last
-        may be left empty.
+    :param holders: hold the layers in sequence; some of the last ones may be
+        left empty.
     :param standby: holds the first layers a second time.
     """
 
@@ -49,9 +50,10 @@
 
 
 def place_copies(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
-    """Plan a pool that holds nothing: the copies that serve the most.
+    """Plan the copies with the highest request rate for an empty pool.
 
-    What is left over when they are whole is for steps that improve them.
+    Replicas that are left over are used by the later steps that improve a
+    plan.
     """
     groups = choose_copy_groups(pool, profile, _HEADROOMS, _find_headroom)
     copies = [
@@ -70,11 +72,13 @@
 
 
 def relayout_pool(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
-    """Spread the layers anew over a pool whose gaps no steps can close.
+    """Assign all layers of a pool anew.
 
-    Such a pool has lost a replica that held much; its paths go through other
-    pools until all of it is done. Replicas keep their order, so that most of
-    them keep some of what they hold.
+    This closes gaps that no single step can close.
+
+    Such a pool has lost a replica that held many layers. Paths go through
+    other pools until all commands are carried out. Replicas keep their order,
+    so that most of them keep some of their layers.
     """
     last = profile.layers
     ordered = sorted(
@@ -104,7 +108,7 @@
     group: Sequence[Replica],
     profile: ModelProfile,
 ) -> list[Replica]:
-    """Put the two smallest replicas before the others of a row."""
+    """Put the two replicas with the least memory before the others."""
     smallest = sorted(
         group,
         key=lambda replica: profile.accelerators[replica.accelerator].memory_mb,
@@ -122,10 +126,10 @@
     *,
     single_copy: bool,
 ) -> _Roles:
-    """Choose who holds the first layers twice, if the row has room for it.
+    """Choose a standby for the first layers, if the headroom allows it.
 
-    :param ordered: the second one is the one to do it.
-    :param single_copy: whether no other row of the pool begins a copy.
+    :param ordered: replicas of a copy; the second one becomes the standby.
+    :param single_copy: whether no other copy begins in this pool.
     """
     without_standby = _Roles(ordered, None)
     if not single_copy or len(ordered) < 2:
@@ -153,13 +157,13 @@
     sizes: Sequence[int],
     layers: int,
 ) -> Iterator[tuple[Replica, LayerRange]]:
-    """Lay ranges of some sizes one after the other over all layers."""
+    """Assign consecutive ranges of given sizes until all layers are held."""
     first = 0
     for replica, size in zip(ordered, sizes, strict=True):
         if size and first < layers:
             end = min(first + size, layers)
-            # The last range reaches back to its full size: held twice is
-            # better than memory that lies idle.
+            # The last range is extended backwards to its full size: layers held
+            # twice are better than unused memory.
             yield replica, LayerRange(max(0, end - size), end)
             first = end
 
@@ -168,9 +172,9 @@
     ordered: Sequence[Replica],
     profile: ModelProfile,
 ) -> list[int]:
-    """Choose the ranges' sizes that leave the most room in a whole copy.
+    """Choose the range sizes that give the copy the largest headroom.
 
-    A spare is kept unless it would cost too much of that room.
+    One replica stays empty unless that would cost too much headroom.
     """
     max_headroom = _find_headroom(ordered, profile)
     with_spare = _find_headroom(ordered[:-_SPARE_REPLICAS], profile)
@@ -180,7 +184,7 @@
 
 
 def _find_headroom(ordered: Sequence[Replica], profile: ModelProfile) -> int:
-    """Find the most room that a whole copy leaves; 0 if there is none."""
+    """Find the largest headroom that a complete copy leaves; 0 if none fits."""
     return next(
         (
             headroom
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
@@ -1,7 +1,8 @@
-"""How long replicas take for a request, as one node sees it.
+"""Tracks how long requests take at each replica, as seen by this node.
 
-Answers the load of a few requests a second where one replica is slower than
-the others: none has a request in progress, so load does not tell them apart.
+At a few requests per second no replica has requests in progress when the next
+one is sent. Load then does not distinguish a slow replica from the others, so
+the durations of earlier requests do.
 """
 
 import math
@@ -9,21 +10,25 @@
 from dataclasses import dataclass, field
 
 _LATEST_WEIGHT = 0.2
-"""Weight of the newest time in the mean of a replica's times.
+"""Weight of the latest duration in a replica's mean.
 
-The mean follows a change within five answers, a second at usual load.
+The mean follows a change within five requests, about a second at usual load.
 """
 
 _RANK_STEP_SECONDS = 0.05
-"""Seconds by which means must differ to tell a slow replica from chance."""
+"""Difference of means that separates two ranks; smaller ones may be chance."""
 
 _DECAY_SECONDS = 20.0
-"""Time in which a mean fades to a third, as a slow replica is hardly asked."""
+"""Time in which a mean decays to 1/e.
+
+A replica that is ranked as slow gets few requests, so its mean has to decay
+for it to be tried again.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class _Mean:
-    """A mean of times, as of a moment; both in seconds."""
+    """A mean duration and the time of its last update, both in seconds."""
 
     seconds: float
     updated: float
@@ -34,13 +39,14 @@
 
 @dataclass(eq=False)
 class DurationBook:
-    """The mean of how long requests took, by replica."""
+    """Mean duration of requests, by replica name."""
 
     _means: dict[str, _Mean] = field(default_factory=dict)
 
     def note(self, name: str, seconds: float, now: float) -> None:
-        """Note how long a request took, answered or given up.
+        """Record how long a request took, whether it was answered or given up.
 
+        :param name: of the replica.
         :param now: monotonic seconds.
         """
         mean = self._read(name, now)
@@ -48,11 +54,11 @@
         self._means[name] = _Mean(changed, now)
 
     def rank(self, name: str, now: float) -> int:
-        """Rank a replica by its mean, coarsely; 0 is the fastest."""
+        """Rank a replica by its mean in coarse steps; 0 is the fastest rank."""
         return int(self._read(name, now) / _RANK_STEP_SECONDS)
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all replicas but some."""
+        """Forget all but the given replicas."""
         self._means = {
             name: mean for name, mean in self._means.items() if name in names
         }
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
@@ -1,10 +1,11 @@
-"""Finds replicas that fail more requests than others do.
-
-A replica may fail part of its requests at once while its health check is
-good. It looks idle and fast, so choosing by load sends it more than its
-share. Some routes fail often at every replica, and a failure there tells
-little; so each answer is weighed by how much likelier it is of a replica that
-fails half of its requests than of one that fails as many as the route does.
+"""Detects replicas that fail more requests than others do.
+
+A replica may fail some of its requests immediately while its health check
+passes. It looks idle and fast, so a choice by load sends it more than its fair
+part. Some routes fail often at every replica, and a failure there is weak
+evidence. Each response therefore counts by its likelihood ratio: that of a
+replica that fails about half of its requests, against that of one that fails
+as many as is normal for the route.
 """
 
 import math
@@ -12,41 +13,41 @@
 from dataclasses import dataclass
 
 FAILING_RATIO = 0.45
-"""Share of requests that a failing replica is taken to fail."""
+"""Fraction of requests that a failing replica is assumed to fail."""
 
 EVIDENCE_LIMIT = 1.5
-"""Evidence from which a replica is avoided: odds of about five to one.
+"""Log odds above which a replica is avoided: odds of about five to one.
 
-One failure where failures are rare exceeds it, as do two in a row where one
-answer in seven is a failure; one such failure alone does not.
+One failure exceeds it where failures are rare, and so do two in a row where
+one response in seven is a failure. A single failure there does not.
 """
 
 MAX_EVIDENCE = 6.0
-"""Most evidence that is kept.
+"""Upper bound of the log odds of a replica.
 
-A replica is then tried again within four seconds; such faults last about six.
+It is tried again within four seconds; such faults last about six.
 """
 
 DECAY_SECONDS = 3.0
-"""Time in which evidence is forgotten to a third."""
+"""Time in which evidence decays to 1/e."""
 
 _MIN_FAILURE_RATIO = 0.01
-"""Share of failures below which routes are not told apart."""
+"""Failure ratio of a route below which routes are treated alike."""
 
 _BASELINE_WEIGHT = 0.05
-"""Weight of the newest answer on a route, from whichever replica."""
+"""Weight of the latest response in the failure ratio of its route."""
 
 
 @dataclass(slots=True)
 class _Evidence:
-    """The logarithm of the odds that a replica fails, as of a time."""
+    """Log odds that a replica is failing, and the time of their last update."""
 
     log_odds: float
     updated: float
 
 
 class FailureBook:
-    """What a node saw of failures, by replica and by route."""
+    """Evidence of failing replicas, and the failure ratios of routes."""
 
     def __init__(self) -> None:
         self._baselines: dict[str, float] = {}
@@ -60,7 +61,7 @@
         *,
         failed: bool,
     ) -> None:
-        """Note an answer.
+        """Record whether a response was a failure.
 
         :param route: its name; routes differ in how often they fail.
         """
@@ -75,7 +76,7 @@
         )
 
     def list_failing(self, now: float) -> frozenset[str]:
-        """Name the replicas to avoid where there are others."""
+        """List the replicas to avoid while others are available."""
         return frozenset(
             name
             for name in self._evidence
@@ -83,7 +84,7 @@
         )
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all replicas but some."""
+        """Forget all but the given replicas."""
         self._evidence = {
             name: evidence
             for name, evidence in self._evidence.items()
@@ -100,7 +101,7 @@
 
 
 def _compute_evidence(baseline: float, *, failed: bool) -> float:
-    """Weigh an answer for and against a replica that fails."""
+    """Compute the change of the log odds that one response causes."""
     ratio = min(FAILING_RATIO, max(_MIN_FAILURE_RATIO, baseline))
     if failed:
         return math.log(FAILING_RATIO / ratio)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_first_replicas.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_first_replicas.py
@@ -1,7 +1,8 @@
-"""Chooses the first replica of a request that may be why others ended.
+"""Ranks first replicas for a request that may have crashed others.
 
-Answers the load of a request that ends each first replica at which it begins,
-together with all streams that began there.
+Some requests crash each first replica at which they begin, together with all
+streams that began there. Ranking limits how many replicas and other streams
+such a request affects.
 """
 
 import hashlib
@@ -14,13 +15,14 @@
 
 
 def rank_heads(digest: str, replicas: Iterable[Replica]) -> list[Replica]:
-    """Rank first replicas for such a request, the best one first.
+    """Rank first replicas for a request that may crash them, best first.
 
-    Those come first beside which another one holds the first layers in their
-    availability zone, as the zone keeps its paths without them. Among these
-    each request has an order of its own, the same at all nodes: its copies
-    meet at one replica, and others that lost a replica with it go elsewhere,
-    so that the next end speaks against few.
+    A replica ranks first if another one in its availability zone holds the
+    first layers too, since the zone then keeps its paths if the replica
+    crashes. Within these groups the order is a hash of request and replica,
+    the same at all nodes. Copies of one request thus meet at one replica, and
+    other requests that lost a replica together with it go elsewhere, so that
+    the next crash casts suspicion on few of them.
 
     :param digest: of the request.
     :param replicas: those that may be used.
@@ -41,6 +43,9 @@
 
 
 def _hash(digest: str, name: str) -> bytes:
-    """Order replicas evenly; a checksum would order most requests alike."""
+    """Hash a request with a replica's name.
+
+    A checksum would order the replicas alike for most requests.
+    """
     text = f'{digest} {name}'.encode()
     return hashlib.blake2b(text, digest_size=_HASH_BYTES).digest()
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -1,4 +1,4 @@
-"""What a node has in progress at each replica."""
+"""Tracks this node's load at each replica and estimates that of all nodes."""
 
 import math
 from collections import Counter
@@ -8,45 +8,48 @@
 from ryelatch_core.fleet._types import Stage
 
 UNLOADED_FIRST_EVENT_SECONDS = 0.15
-"""Time to a first event up to which a path counts as free.
+"""Time to the first event up to which a path counts as unloaded.
 
-Unloaded paths need 0.05 s, and 0.1 s for the longest prompts.
+Unloaded paths take 0.05 s, and 0.1 s for the longest prompts.
 """
 
 EXCESS_DECAY_SECONDS = 3.0
-"""Time in which a path's excess is forgotten to a third.
+"""Time in which the excess latency of a path decays to 1/e.
 
-A usual answer takes two seconds, so what crowded a path is mostly gone then;
-and a path that nobody tries would never be seen to be free again.
+A typical answer takes two seconds, so most of the load that caused the delay
+is gone by then. Without decay a path that gets no requests would stay marked
+as overloaded.
 """
 
 MEAN_SECONDS_PER_NODE = 0.05
-"""Time, for each node that there is, in which means follow a change.
+"""Time constant of the mean load, for each node of the fleet.
 
-A node of sixty sends a request through a replica every five seconds: what it
-has at a moment tells little of the others, its mean over three seconds more. A
-node of eight has several at once, and the mean follows within half a second.
+A node of sixty sends a request through a given replica every five seconds: its
+current load says little about the others, its mean over three seconds more. A
+node of eight has several requests there at once, and its mean follows within
+half a second.
 """
 
 MIN_LEARNING_SECONDS = 2.0
-"""Time in which a node that starts learns of the others, at least.
+"""Minimum time that a started node takes to learn the load of the others.
 
-That of a usual answer; it may not know yet how many nodes there are.
+This is the duration of a typical answer; the number of nodes may still be
+unknown.
 """
 
 _MIN_MATURITY = 0.05
-"""Share of its final value that a mean is taken to have at least.
+"""Lower bound of the fraction of its final value that a mean has reached.
 
-Less would make one request of a node stand for hundreds.
+With a lower bound, one request of a node would count as hundreds.
 """
 
 _LATEST_WEIGHT = 0.3
-"""Weight of the newest excess: three requests in a row tell the truth."""
+"""Weight of the latest excess; the mean follows within three requests."""
 
 
 @dataclass(slots=True)
 class _Mean:
-    """What a node had at a replica lately, as of a time."""
+    """Mean load of this node at a replica, and the time of its last update."""
 
     requests: float
     tokens: float
@@ -55,9 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """What all nodes together are taken to have at each replica, by name.
+    """Estimated load of all nodes together, by replica name.
 
-    :param uncertainty: from 0 to 1, how little a node knows of that yet.
+    :param requests: in progress.
+    :param tokens: of these requests.
+    :param uncertainty: from 0 to 1; how little this node knows of the load of
+        other nodes so far.
     """
 
     requests: Mapping[str, float]
@@ -66,14 +72,15 @@
 
 
 NO_LOAD = LoadEstimate({}, {})
-"""Nothing in progress anywhere."""
+"""An estimate without any requests in progress."""
 
 
 class LoadBook:
-    """What this node has at each replica, by name, and how long it waited.
+    """This node's load at each replica, and the excess latency of its paths.
 
-    A node sees its own requests only. That others crowd a replica, or that
-    it is slow, shows in the time to the first event of the paths through it.
+    A node sees its own requests only. Whether other nodes overload a replica,
+    or the replica is slow, shows in the time to the first event of the paths
+    through it.
     """
 
     def __init__(self) -> None:
@@ -90,7 +97,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Note how long a path took to its first event."""
+        """Record how long a path took to its first event."""
         excess = max(0.0, seconds - UNLOADED_FIRST_EVENT_SECONDS)
         for stage in path:
             name = stage.replica.name
@@ -99,16 +106,16 @@
             self._excess[name] = (mean, now)
 
     def estimate_excess(self, name: str, now: float) -> float:
-        """Estimate the seconds by which paths through a replica are late."""
+        """Estimate the excess latency of a replica's paths, in seconds."""
         mean, updated = self._excess.get(name, (0.0, now))
         return mean * math.exp((updated - now) / EXCESS_DECAY_SECONDS)
 
     def list_excess(self, now: float) -> dict[str, float]:
-        """List the replicas whose paths are late, and by how much."""
+        """List the excess latency of paths by replica name, in seconds."""
         return {name: self.estimate_excess(name, now) for name in self._excess}
 
     def keep(self, names: Container[str]) -> None:
-        """Forget what was noted of all replicas but some."""
+        """Forget the means and latencies of all but the given replicas."""
         self._excess = {
             name: excess
             for name, excess in self._excess.items()
@@ -119,18 +126,18 @@
         }
 
     def share_among(self, nodes: int) -> None:
-        """Take note of how many nodes there are."""
+        """Set the number of nodes of the fleet."""
         self._nodes = nodes
 
     def add(self, path: Iterable[Stage], tokens: int, now: float) -> None:
-        """Note a request that was sent on a path."""
+        """Record a request that was sent on a path."""
         for stage in path:
             self._update_mean(stage.replica.name, now)
             self.requests[stage.replica.name] += 1
             self.tokens[stage.replica.name] += tokens
 
     def remove(self, path: Iterable[Stage], tokens: int, now: float) -> None:
-        """Note the end of a request."""
+        """Record that a request has finished."""
         for stage in path:
             name = stage.replica.name
             self._update_mean(name, now)
@@ -141,10 +148,11 @@
                 del self.tokens[name]
 
     def estimate(self, now: float) -> LoadEstimate:
-        """Estimate what all nodes have at the replicas.
+        """Estimate the load of all nodes at each replica.
 
-        This node's own requests are known. The others are taken to have as
-        many as this one has had lately: clients come to all alike.
+        This node's own requests are known. Every other node is assumed to have
+        as many as this one has had recently, since clients spread over all
+        nodes.
         """
         for name in self._means:
             self._update_mean(name, now)
@@ -162,7 +170,7 @@
         )
 
     def _compute_uncertainty(self, now: float) -> float:
-        """Tell how little this node knows yet of what the others send."""
+        """Compute how little this node knows of other nodes, from 0 to 1."""
         started_at = now if self._started_at is None else self._started_at
         learning = max(
             MIN_LEARNING_SECONDS, MEAN_SECONDS_PER_NODE * self._nodes
@@ -170,11 +178,11 @@
         return math.exp((started_at - now) / learning)
 
     def _compute_maturity(self, now: float) -> float:
-        """Tell how much of their final value means have reached.
+        """Compute which fraction of their final value the means have reached.
 
-        They begin at nothing. When sixty nodes have just been started
-        together, the first seconds of means alone told each of them that
-        the others had nothing, and all sent to the same few replicas.
+        Means begin at zero. When sixty nodes started together, each took the
+        others to be idle for the first seconds, and all of them sent to the
+        same few replicas.
         """
         if self._started_at is None:
             self._started_at = now
@@ -183,7 +191,7 @@
         return max(_MIN_MATURITY, 1 - math.exp(-age / time_constant))
 
     def _update_mean(self, name: str, now: float) -> None:
-        """Bring a replica's mean up to now."""
+        """Update the mean load of a replica to the current time."""
         mean = self._means.setdefault(name, _Mean(0, 0, now))
         time_constant = MEAN_SECONDS_PER_NODE * self._nodes
         weight = 1 - math.exp((mean.updated - now) / time_constant)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
@@ -1,35 +1,36 @@
-"""By how much replicas are slower than their kind of accelerator.
+"""Tracks by how much replicas are slower than their kind of accelerator.
 
-Answers the load of a few replicas that turn many times slower for seconds:
-each of them holds up all paths through it, and its first replica looks full.
+A few replicas may become many times slower for some seconds. Each of them
+delays all paths through it, and the first replicas of these paths look full.
 """
 
 from collections.abc import Container
 from dataclasses import dataclass, field
 
 SLOW_FACTOR = 1.3
-"""Factor from which a replica counts as slow."""
+"""Step-time factor from which a replica counts as slow."""
 
 MAX_FACTOR = 100.0
-"""Largest factor that is believed."""
+"""Upper bound of a step-time factor."""
 
 EXPIRY_SECONDS = 3.0
-"""How long a replica that said that it is slow is taken for it.
+"""Time after which a report that a replica is slow expires.
 
-It is hardly used meanwhile, so nothing else would show that it has recovered.
+A slow replica gets hardly any requests, so nothing else would show that it has
+recovered.
 """
 
 
 @dataclass(eq=False)
 class PaceBook:
-    """What replicas said of their own pace, by name."""
+    """Step-time factors that slow replicas have reported, by replica name."""
 
     _slow: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def note(self, name: str, step_factor: float, now: float) -> bool:
-        """Note what a replica said.
+        """Record the step-time factor that a replica reported.
 
-        :param step_factor: factor by which its passes take longer.
+        :param step_factor: by which its steps take longer.
         :returns: whether it is slow and was not known to be.
         """
         known = name in self.list_slow(now)
@@ -40,7 +41,7 @@
         return not known
 
     def list_slow(self, now: float) -> dict[str, float]:
-        """List the factors of the replicas that are slow now."""
+        """List the step-time factors of the replicas that are slow now."""
         return {
             name: step_factor
             for name, (step_factor, until) in self._slow.items()
@@ -48,7 +49,7 @@
         }
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all replicas but some."""
+        """Forget all but the given replicas."""
         self._slow = {
             name: slow for name, slow in self._slow.items() if name in names
         }
