--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copy_groups.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copy_groups.py
@@ -1,10 +1,10 @@
-"""Decides how many whole copies of a model a pool of replicas holds.
+"""Decides how many complete copies of a model a pool of replicas holds.
 
-One copy over all replicas leaves the most memory for requests, but then they
-all wait for the same passes: each request that writes makes every token of
-the others slower. More copies share that work out and make paths shorter,
-but each takes its weights from the memory. In between lies the number that
-serves the most requests a second.
+A single copy over all replicas leaves the most memory for requests, but all
+requests then share the same steps: each request that is decoded slows down
+every token of the others. More copies divide that work and make paths shorter,
+but the weights of each copy take memory. The number of copies with the highest
+request rate lies in between.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -20,15 +20,15 @@
     headrooms: Iterable[int],
     find_headroom: Callable[[Sequence[Replica], ModelProfile], int],
 ) -> list[list[Replica]]:
-    """Cut a pool into rows that hold a copy each, the fastest ones first.
+    """Split a pool into groups that hold a copy each, fastest replicas first.
 
-    Fast replicas stay together: a token of a path takes as long as its slow
-    parts, and mixed into each row they would slow down all requests.
+    Fast replicas stay together. The time of a token is the sum over all stages
+    of its path, so slow replicas in every group would slow down all requests.
 
-    :param headrooms: numbers of usual requests to try, for which each replica
-        keeps room.
-    :param find_headroom: finds the most usual requests for which a row keeps
-        room beside a copy; 0 if it can't hold one.
+    :param headrooms: numbers of typical requests to try, for which each
+        replica keeps memory.
+    :param find_headroom: finds the largest headroom of a group beside a copy;
+        0 if the group can't hold one.
     """
     ordered = sorted(
         pool,
@@ -54,7 +54,7 @@
     profile: ModelProfile,
     headroom: int,
 ) -> list[list[Replica]]:
-    """Begin a new row whenever one is whole; the last takes what is left."""
+    """Begin a new group when one is complete; the last takes the remainder."""
     groups: list[list[Replica]] = []
     group: list[Replica] = []
     held = 0
@@ -74,7 +74,7 @@
     profile: ModelProfile,
     headroom: int,
 ) -> float:
-    """Estimate the requests a second of a row whose memory is full."""
+    """Estimate the requests per second of a group whose memory is full."""
     step = 0.0
     prefill = 0.0
     left = profile.layers
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -76,7 +76,7 @@
 
 
 class LoadBook:
-    """This node's load at each replica, and the excess latency of its paths.
+    """Load that this node has at each replica, and excess latency of its paths.
 
     A node sees its own requests only. Whether other nodes overload a replica,
     or the replica is slow, shows in the time to the first event of the paths
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
@@ -1,13 +1,14 @@
 """Chooses the replicas that a request passes through.
 
 A path runs every layer exactly once, in order. Among the paths that the held
-ranges allow, the one with the least expected time is taken: token steps and
-reading at each replica, a pause at each change of replica, more for a change
-of availability zone, and the more the fuller a replica is.
-
-A shortest path over the places where ranges begin or end: for each of them
-the best way to get there, by the replica that runs the last part. Its cost
-grows with replicas times ranges, not with the number of paths.
+ranges allow, the one with the lowest expected time is chosen: decode steps and
+prefill at each replica, a delay for each change of replica, a larger one for
+each change of availability zone, and more the fuller a replica is.
+
+This is a shortest-path search over the boundaries of the held ranges. For each
+boundary it keeps the cheapest way to reach it, by the replica that runs the
+last part. The cost of the search grows with the number of replicas times the
+number of ranges, not with the number of paths.
 """
 
 import itertools
@@ -22,35 +23,38 @@
 from ryelatch_core.fleet._types import LayerRange, Replica, Stage
 
 HOP_SECONDS = 0.0003
-"""A token's way between two replicas of a zone, with the wait for a pass."""
+"""Time of a token between two replicas of a zone, with the wait for a step."""
 
 CROSSING_SECONDS = 1.5
-"""What a change of zone in the middle of a path is taken to cost a request.
+"""Cost that a change of zone in the middle of a path adds to a request.
 
-An activation is 59 kB a token: a usual request moves 46 MB across and costs
-operators about 3 in 100 of its worth, where a second of waiting costs its
-caller less. Traffic that crosses without need also fills the pipe that all
+An activation has 59 kB per token, so a typical request moves 46 MB between the
+zones. That costs operators about 3 in 100 of the request's value, more than a
+second of waiting costs its client. Such traffic also fills the link that all
 requests between the zones share.
 """
 
 SEARCHED_ZONES = 3
-"""Zones in which a path is sought, the own one among them.
+"""Number of zones in which a path is searched, including the request's own.
 
-A search of all takes time in proportion to the fleet: 2.4 ms of a core for 205
-replicas in five zones, 20 ms for 3,900. Which zones are searched beside the
-own one is drawn for each request, so that what a crowded zone sends away goes
-to all others alike.
+The time to search all zones is proportional to the number of replicas: 2.4 ms
+of a core for 205 replicas in five zones, 20 ms for 3,900. The other zones are
+sampled for each request, so that the requests an overloaded zone sends away
+spread over all others.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _HopCosts:
-    """What changes of replica cost a request, in seconds."""
+    """Costs of a change of replica for one request, in seconds.
+
+    :param hop_seconds: cost of a change within a zone.
+    """
 
     hop_seconds: float
 
     def estimate(self, previous: Replica, following: Replica) -> float:
-        """Price the way from one replica to the next."""
+        """Estimate the cost of the way from one replica to the next."""
         if previous.name == following.name:
             return 0
         crossing = 0 if previous.zone == following.zone else CROSSING_SECONDS
@@ -59,7 +63,10 @@
 
 @dataclass(slots=True)
 class _PartialPath:
-    """The best way found to a place between layers."""
+    """The cheapest way found from the first layer to a boundary.
+
+    :param first: first layer of the part that the last replica runs.
+    """
 
     cost: float
     replica: Replica
@@ -69,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PricedPath:
-    """A path and its expected seconds."""
+    """A path and its expected time in seconds."""
 
     cost: float
     path: tuple[Stage, ...]
@@ -82,7 +89,7 @@
     """Choose a path through all layers.
 
     :param replicas: of one service.
-    :returns: its stages in order; empty if there is none.
+    :returns: its stages in order; empty if there is no path.
     """
     usable = [
         replica
@@ -97,10 +104,10 @@
         [candidate for candidate in usable if candidate.version == version]
         for version in versions
     ]
-    # The pipe between zones is shared by all requests, and a path that
-    # changes zone fills it with activations: at the peak a quarter of the
-    # requests doing so make all of them wait a second. So a path inside one
-    # zone is taken if there is any, however crowded.
+    # All requests share the links between zones, and a path that changes
+    # zone fills them with activations. If a quarter of the requests do so at
+    # the peak, all of them wait a second. A path within one zone is therefore
+    # taken if there is any, however loaded it is.
     for group in groups:
         found = _search_zones(group, query)
         if found:
@@ -117,11 +124,12 @@
 
 
 def _search_zones(group: list[Replica], query: PathQuery) -> _PricedPath | None:
-    """Find the cheapest path that stays in its zone.
+    """Find the cheapest path that stays within a zone.
 
-    Zones are searched one by one: a path is sought among a third of the
-    replicas three times, which takes a third of the time. Of many zones some
-    are searched, and the others only where these have no path.
+    Zones are searched separately: with three zones that is three searches
+    among a third of the replicas each, which take a third of the time. In
+    fleets of many zones only some are searched, and the others only if these
+    have no path.
     """
     zones: dict[str, list[Replica]] = {}
     for replica in group:
@@ -138,7 +146,7 @@
 
 
 def _order_zones(zones: Iterable[str], query: PathQuery) -> list[str]:
-    """Put the request's own zone first, and the others by chance."""
+    """Order the zones at random, after the request's own zone."""
     return sorted(
         zones, key=lambda name: (name != query.zone, query.draw(), name)
     )
@@ -154,9 +162,9 @@
         partial = _find_cheapest_partial(offered, costs, query, hop_costs)
         path = _join_stages(partial, query.profile.layers)
         names = {stage.replica.name for stage in path}
-        # A replica that comes twice is refused by the upstreams. It shows
-        # where leaving it for a faster one and coming back looks cheaper
-        # than staying; with dearer hops staying wins.
+        # Upstreams refuse a path with the same replica twice. That happens
+        # where leaving a replica for a faster one and returning looks cheaper
+        # than staying; with a higher cost of hops, staying is cheaper.
         if partial and len(names) == len(path):
             return _PricedPath(partial.cost, path)
     return None
@@ -210,9 +218,9 @@
 def _fits_first_stage(
     replica: Replica, part: LayerRange, head: Stage | None
 ) -> bool:
-    """Whether a replica may run a part beside a stage that is given.
+    """Return whether a replica may run a part when the first stage is given.
 
-    The first replica of a stream keeps its own part when it is moved.
+    The first replica of a stream keeps its own part when the stream is moved.
     """
     if head is None:
         return True
@@ -228,7 +236,7 @@
     query: PathQuery,
     hop_costs: _HopCosts,
 ) -> _PartialPath | None:
-    """Find the best way over a part that ends at a replica."""
+    """Find the cheapest way over a part that ends at a given replica."""
     run_cost = layer_costs[replica.name] * len(part)
     if part.first == 0:
         if replica.name in query.closed:
@@ -250,7 +258,7 @@
 def _join_stages(
     partial: _PartialPath | None, layers: int
 ) -> tuple[Stage, ...]:
-    """Join the parts of a way into stages, one a replica in a row."""
+    """Join consecutive parts at the same replica into stages."""
     parts: list[_PartialPath] = []
     while partial is not None:
         parts.append(partial)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -1,4 +1,4 @@
-"""Predicts memory and times of replicas from the model's profile."""
+"""Predicts memory use and step times of replicas from the model's profile."""
 
 from ryelatch_core.fleet._types import Accelerator, LayerRange, ModelProfile
 
@@ -10,12 +10,12 @@
     accelerator: Accelerator,
     requests: float,
 ) -> int:
-    """Count the layers that leave room for a number of usual requests.
+    """Count the layers that leave headroom for a number of typical requests.
 
-    Weights and caches share the memory: a replica with one layer less holds
+    Weights and KV caches share the memory. A replica with one layer less holds
     more requests, but a copy of the model then takes more replicas.
 
-    :param requests: usual requests in progress at once.
+    :param requests: typical requests in progress at once.
     """
     tokens = profile.usual_prompt + profile.usual_answer
     per_layer = profile.layer_mb + requests * tokens * profile.cache_mb
@@ -27,7 +27,7 @@
     accelerator: Accelerator,
     layers: LayerRange,
 ) -> float:
-    """Estimate the tokens whose caches fit beside a range of layers."""
+    """Estimate the tokens whose KV caches fit beside a range of layers."""
     free = accelerator.memory_mb - len(layers) * profile.layer_mb
     return max(0, free / (len(layers) * profile.cache_mb))
 
@@ -38,9 +38,9 @@
     layers: int,
     sequences: float,
 ) -> float:
-    """Estimate the seconds of one token step over some layers.
+    """Estimate the duration of one decode step over some layers, in seconds.
 
-    :param sequences: requests that the replica writes for at once.
+    :param sequences: number of requests that are decoded together.
     """
     total = profile.step_ms + sequences * profile.writer_ms
     fraction = layers / profile.layers
@@ -53,7 +53,7 @@
     layers: int,
     tokens: float,
 ) -> float:
-    """Estimate the seconds of reading a prompt through some layers."""
+    """Estimate the duration of the prefill of a prompt, in seconds."""
     fraction = layers / profile.layers
     total = tokens / profile.read_per_ms
     return total * accelerator.read_factor * fraction / _MS
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -1,15 +1,15 @@
 """Decides which replica holds which layers.
 
-Each availability zone holds whole copies of the model where it can, so that
-paths stay inside a zone: a request may go to any zone whole, but a change of
-zone in the middle of a path moves all its activations. Zones too small for a
-copy are planned together.
-
-Weights and caches share the memory of a replica, and what is left for caches
-bounds the requests in progress. A plan is the better the more tokens fit at
-each layer; a layer that nobody holds weighs more than all else. From a plan
-in force the step that helps most is taken, again and again, while it helps
-enough to be worth a load of weights.
+Each availability zone holds complete copies of the model if it can, so that
+paths stay within a zone. A request may go to any zone as a whole, but a change
+of zone in the middle of a path moves all its activations. Zones that are too
+small for a copy are planned together.
+
+Weights and KV caches share the memory of a replica, and the memory left for
+caches limits the requests in progress. The cost of a plan is lower the more
+tokens fit at each layer; a layer that no replica holds outweighs all else.
+Starting from the current plan, the step with the largest benefit is taken
+repeatedly, as long as the benefit justifies a load of weights.
 """
 
 import itertools
@@ -28,46 +28,49 @@
 from ryelatch_core.fleet._zones import MIN_HEADROOM, make_pools
 
 _AMPLE_HEADROOMS = (110, 80, 60, 44)
-"""Rooms that a repair leaves to the replicas that it changes, best first.
+"""Headrooms that a repair leaves to the changed replicas, best first.
 
-Two neighbours that take a half of a gap each keep more room than one that
-takes all of it. A zone has 40 requests in progress at the peak, 75 while
-another zone is out.
+Two neighbours that each take half of a gap keep more headroom than one that
+takes all of it. A zone has 40 requests in progress at the peak, and 75 during
+an outage of another zone.
 """
 
 _SCARCE_HEADROOMS = (30, 20, MIN_HEADROOM)
-"""The same where no ample room can be left."""
+"""Headrooms that are tried when no ample headroom is possible."""
 
 _RANGE_HEADROOMS = (150, 110, 80, 60, 44, 30, 20, 8)
-"""Rooms for which ranges are tried in a step; more finds little more."""
+"""Headrooms for which candidate ranges are sized.
+
+More values find little more.
+"""
 
 _MIN_BENEFIT = 0.045
-"""Share of a plan's weight that a step must save.
+"""Fraction of a plan's cost that a step must save.
 
-Where all layers of one copy have about the same room, one more replica saves
-4 in 100. Of three copies one that lost a replica of four layers weighs 6 in
-100 more.
+If all layers of a single copy have about equal headroom, one more replica
+saves 4 in 100. With three copies, the loss of a replica of four layers raises
+the cost by 6 in 100.
 """
 
 _MIN_SPARE_BENEFIT = 0.1
-"""The same for a step that uses one of the last empty replicas.
+"""Fraction of the cost that a step with one of the last empty replicas saves.
 
-These are for losses to come: where neighbours have closed a gap, or one has
-come back empty, it saves 15 in 100 and more.
+These are kept for later losses. If neighbours have closed a gap, or a replica
+has restarted without layers, such a step saves 15 in 100 and more.
 """
 
 _SPARE_FRACTION = 0.066
-"""Share of a pool whose replicas are the last empty ones, one at least.
+"""Fraction of a pool that counts as its last empty replicas, at least one.
 
-A replica in fifteen is lost at a time, mostly; the smallest pools are as
-large.
+Mostly one replica in fifteen is lost at a time, and the smallest pools have
+about fifteen.
 """
 
 _MAX_MOVES = 8
-"""Orders after which no further step is planned at once for a pool.
+"""Number of commands after which no further step is planned for a pool.
 
-More than six loads at a time make each of them slower; a step of three
-orders may begin below this and go beyond it.
+More than six loads at a time slow each other down. A step of three commands
+may begin below this limit and exceed it.
 """
 
 
@@ -77,12 +80,12 @@
     *,
     thorough: bool = False,
 ) -> tuple[Move, ...]:
-    """Plan the orders that complete and improve each zone's copies.
+    """Plan the commands that complete and improve the copies of each zone.
 
     :param replicas: all replicas of the service that are alive.
-    :param thorough: whether pools may be laid out anew whose gaps no single
-        steps can close.
-    :returns: nothing where no step helps enough.
+    :param thorough: whether all layers of a pool may be assigned anew if no
+        single steps can close its gaps.
+    :returns: the commands; empty if no step has enough benefit.
     """
     return tuple(
         itertools.chain.from_iterable(
@@ -96,7 +99,7 @@
     replicas: Iterable[Replica],
     profile: ModelProfile,
 ) -> bool:
-    """Whether any pool of replicas lacks layers."""
+    """Return whether any pool of replicas lacks layers."""
     return any(
         PoolPlan(pool, profile).find_gap() is not None
         for pool in make_pools(replicas, profile)
@@ -120,11 +123,11 @@
     *,
     thorough: bool,
 ) -> list[Move]:
-    """Close the gaps with the most room left, and improve what is whole.
+    """Close the gaps with the largest headroom possible, then improve the plan.
 
-    Replicas that stand in for others move only where all others together
-    can't leave ample room: they give up their layers when the streams that
-    pass have ended, ten seconds later at most.
+    Redundant replicas move only if no plan without them leaves ample headroom.
+    Before they give up their layers, they wait for the streams that pass
+    through them to end, which takes up to ten seconds.
     """
     moves: list[Move] = []
     for headroom, moves_redundant in (
@@ -141,11 +144,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _StepOptions:
-    """What the steps of a plan may do.
+    """Limits of the steps of a plan.
 
-    :param headroom: usual requests for which a changed replica keeps room.
-    :param thorough: whether gaps have lasted.
-    :param moves_redundant: whether replicas may move that stand in for others.
+    :param headroom: typical requests for which a changed replica keeps memory.
+    :param thorough: whether gaps have persisted.
+    :param moves_redundant: whether replicas may move whose layers are held by
+        others as well.
     """
 
     headroom: int
@@ -158,7 +162,7 @@
     plan: PoolPlan,
     options: _StepOptions,
 ) -> list[Move]:
-    """Take the steps that help most, one a replica."""
+    """Take the steps with the largest benefit, at most one for each replica."""
     moves: dict[str, Move] = {}
     while len(moves) < _MAX_MOVES:
         cost = plan.compute_cost()
@@ -182,7 +186,7 @@
 
 
 def _choose_min_benefit(plan: PoolPlan) -> float:
-    """Find the share of the weight that the next step must save."""
+    """Choose the fraction of the cost that the next step must save."""
     empty = sum(layers is None for layers in plan.held.values())
     few_spares = empty <= max(1, int(len(plan.held) * _SPARE_FRACTION))
     return _MIN_SPARE_BENEFIT if few_spares else _MIN_BENEFIT
@@ -203,11 +207,12 @@
     plan: PoolPlan,
     options: _StepOptions,
 ) -> Iterator[Move]:
-    """List the ranges that a replica may be ordered to hold next.
+    """List the ranges that a replica may be commanded to hold next.
 
-    One that serves keeps what it holds and may reach into a gap; what it gave
-    up would wait for the requests that pass through it. It moves away only
-    where a gap lasts and others hold all that it holds.
+    A serving replica keeps its layers and may extend into a gap, since it
+    would have to wait for the requests that pass through any layers that it
+    gave up. It moves elsewhere only if a gap persists and others hold all its
+    layers.
     """
     layers = plan.held[replica.name]
     gap = plan.find_gap()
@@ -227,10 +232,11 @@
     headroom: float,
     gap: LayerRange | None,
 ) -> Iterator[Move]:
-    """List ranges for an empty replica that keep at least some room.
+    """List ranges for a replica that keep at least the given headroom.
 
-    A path holds as many requests as its fullest replica, so a replica that
-    closes half of a gap and then fits fourteen requests holds up the zone.
+    A path holds only as many requests as its fullest replica. A replica that
+    closes half of a gap and then has memory for fourteen requests limits the
+    whole zone.
     """
     profile = plan.profile
     headrooms = [tried for tried in _RANGE_HEADROOMS if tried >= headroom]
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
@@ -1,4 +1,4 @@
-"""Weighs how well a pool of replicas holds the layers of a model."""
+"""Computes the cost of how a pool of replicas holds the layers of a model."""
 
 import itertools
 from collections.abc import Iterable
@@ -9,26 +9,29 @@
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
 
 _MISSING_LAYER_COST = 1000.0
-"""Weight of a layer that nobody holds, in layers with room for one request."""
+"""Cost of a layer that no replica holds.
+
+The cost of a layer with memory for a single typical request is 1.
+"""
 
 FIRST_REPLICA_COST_RATIO = 0.3
-"""Weight of one replica alone that begins all paths of a pool.
+"""Cost of a single first replica for a whole pool, relative to a copy's.
 
-In shares of a copy's weight. Its loss cuts off all streams of the pool, and
-none begins until its layers are loaded elsewhere.
+The loss of this replica cuts off all streams of the pool, and none can begin
+until its layers are loaded elsewhere.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """An order to a replica to hold a range of layers."""
+    """A command to a replica to hold a range of layers."""
 
     replica: Replica
     layers: LayerRange
 
 
 Step: TypeAlias = tuple[Move, ...]
-"""Orders that only make sense together."""
+"""Commands that are useful only together."""
 
 
 def fit_replica(
@@ -36,7 +39,7 @@
 ) -> int:
     """Count the layers that a replica may hold beside a number of requests.
 
-    :param headroom: usual requests in progress for which memory is kept.
+    :param headroom: typical requests in progress for which memory is kept.
     """
     accelerator = profile.accelerators[replica.accelerator]
     return fit_layers(profile, accelerator, headroom)
@@ -52,7 +55,7 @@
 
 
 class PoolPlan:
-    """A plan in the making, with the tokens that fit at each layer."""
+    """A mutable plan of a pool, with the tokens that fit at each layer."""
 
     def __init__(self, pool: list[Replica], profile: ModelProfile) -> None:
         self.profile = profile
@@ -67,11 +70,11 @@
             self._add(replica, replica.layers, 1)
 
     def compute_cost(self) -> float:
-        """Weigh the layers of the plan; less is better."""
+        """Compute the cost of all layers of the plan; less is better."""
         return sum(map(self._compute_layer_cost, self.tokens))
 
     def find_gap(self) -> LayerRange | None:
-        """Find the first range of layers that nobody holds."""
+        """Find the first range of layers that no replica holds."""
         missing = [
             layer for layer, tokens in enumerate(self.tokens) if tokens <= 0
         ]
@@ -83,7 +86,7 @@
         return LayerRange(missing[0], missing[0] + len(list(run)))
 
     def is_redundant(self, replica: Replica) -> bool:
-        """Whether others hold all layers that a replica holds."""
+        """Return whether other replicas hold all layers of a replica."""
         layers = self.held[replica.name]
         if layers is None:
             return True
@@ -92,7 +95,7 @@
         return all(tokens > capacity + 1 for tokens in held)
 
     def compute_saving(self, step: Step) -> float:
-        """Tell how much a step would save."""
+        """Compute how much a step would reduce the cost of the plan."""
         held = [self.held[move.replica.name] for move in step]
         changed = [move.layers for move in step] + list(filter(None, held))
         first = min(part.first for part in changed)
@@ -113,7 +116,7 @@
         return saved
 
     def apply(self, step: Step) -> None:
-        """Take a step."""
+        """Apply a step to the plan."""
         for move in step:
             self._put(move.replica, move.layers)
 
@@ -141,11 +144,11 @@
         return estimate_capacity(self.profile, accelerator, layers)
 
     def _compute_first_replica_cost(self) -> float:
-        """Weigh the risk that the replicas that begin paths are lost."""
+        """Compute the cost of the risk that the first replicas are lost."""
         return self._first_replica_cost / max(1, self._first_replicas) ** 2
 
     def _compute_even_cost(self, pool: list[Replica]) -> float:
-        """Weigh a copy for which a pool's memory is spread evenly."""
+        """Compute the cost of one copy with the pool's memory spread evenly."""
         profile = self.profile
         memory = sum(
             profile.accelerators[replica.accelerator].memory_mb
@@ -162,6 +165,6 @@
     def _compute_layer_cost(self, tokens: float) -> float:
         if tokens <= 1:
             return _MISSING_LAYER_COST
-        # Squared, as every request passes through all layers: one layer with
-        # little room holds up the pool however much the others have.
+        # Squared, since every request passes through all layers: one layer
+        # with little capacity limits the pool, whatever the others have.
         return float((self._typical_tokens / tokens) ** 2)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -1,7 +1,7 @@
-"""Prices what a request takes at replicas, in seconds that its caller waits.
+"""Estimates the costs of a request at replicas, in seconds that it waits.
 
-Token steps and reading at each replica, more the fuller and the slower it is,
-and what a path's beginning costs at its first replica.
+These are decode steps and prefill at each replica, more the fuller and slower
+it is, and the cost of the beginning of a path at its first replica.
 """
 
 import math
@@ -17,65 +17,69 @@
 from ryelatch_core.fleet._types import ModelProfile, Replica, Stage
 
 ENTRY_COST_SECONDS = 0.05
-"""What a path that begins in another zone is taken to cost a request.
+"""Cost that a path that begins in another zone adds to a request.
 
-Only the prompt's text and the events cross, and each event comes half a
-millisecond later; it matters where all else is alike.
+Only the text of the prompt and the events cross between the zones, and each
+event arrives half a millisecond later. The cost decides only between paths
+that are otherwise equal.
 """
 
 _MAX_FULLNESS = 2.0
-"""Estimated share of a replica's memory beyond which more changes nothing.
-
-The estimate takes all nodes to send as much as this one, but clients are
-spread unevenly, and while one node of a zone restarts another has all of its
-traffic. So the estimate only steers. Only what this node alone has there
-rules a replica out: one without room refuses at once, which is cheap, where
-refusing here for an estimate that is too high is not.
+"""Estimated fraction of a replica's memory above which its cost stays constant.
+
+The estimate assumes that all nodes send as much as this one, but clients are
+spread unevenly, and while one node of a zone restarts another one has all of
+its traffic. The estimate therefore only influences the choice. A replica is
+ruled out only if the requests of this node alone fill it: a full replica
+refuses at once, which costs little, while ruling it out here for too high an
+estimate would cost more.
 """
 
 EXCESS_WEIGHT = 3.0
-"""Seconds of a whole answer that a second to its first event is worth.
+"""Seconds of a whole answer that count as much as one until its first event.
 
-A first event that is late costs the caller most of what the answer is worth;
-an answer that goes on for a second more costs next to nothing.
+A late first event costs the client most of the value of the answer. An answer
+that takes one second more as a whole costs next to nothing.
 """
 
 SLOTS_SECONDS = 2.0
-"""What a first replica without a free slot is taken to cost a request.
+"""Cost that a first replica without a free slot adds to a request.
 
-It queues a few requests more and refuses the others, and a refused one comes
-back a second later. The cost grows with the fourth power of the share of
-slots in use, so that it matters beyond two thirds.
+It queues a few more requests and refuses the others, and refused requests
+return a second later. The cost grows with the fourth power of the fraction of
+slots in use, so it matters above two thirds.
 """
 
 _SLOTS_POWER = 4
 
 _MIN_UNCERTAINTY = 0.01
-"""Doubt below which a node goes by what it knows alone."""
+"""Uncertainty of the load below which no extra noise is added."""
 
 _JITTER = 0.15
 """Spread of the costs between nodes.
 
-Nodes see only their own requests. With the same figures all would send the
+Nodes see only their own requests. With equal costs, all of them would send the
 next request to the same replica.
 """
 
 
 @dataclass(frozen=True)
 class PathQuery:
-    """What a path is wanted for.
+    """Requirements of a path, and the load of the replicas that it may use.
 
+    :param profile: of the model.
     :param zone: where the request comes from.
-    :param prompt: tokens to be read.
-    :param answer: tokens expected to be written.
+    :param prompt: tokens of the prompt.
+    :param answer: expected tokens of the answer.
+    :param draw: returns random numbers from 0 to 1.
     :param avoid: names of replicas not to use.
     :param own_tokens: tokens of this node's requests at each replica.
-    :param load: what all nodes are taken to have there.
-    :param excess: seconds by which paths through a replica were late.
-    :param paces: factors by which replicas said that they are slower.
+    :param load: estimated load of all nodes.
+    :param excess: excess latency in seconds of paths through each replica.
+    :param paces: step-time factors that slow replicas have reported.
     :param closed: names of replicas where no path may begin.
     :param head: the stage that must come first, if any.
-    :param kept: names of replicas that have read the request already.
+    :param kept: names of replicas that have done the prefill of the request.
     :param crosses: whether the path may change zones in its middle.
     """
 
@@ -98,9 +102,9 @@
 def estimate_layer_costs(
     usable: list[Replica], query: PathQuery
 ) -> dict[str, float]:
-    """Estimate the seconds that a request takes for each layer there.
+    """Estimate the cost of a request per layer at each replica, in seconds.
 
-    Replicas that this node alone fills are left out.
+    Replicas that are full with requests of this node alone are left out.
     """
     layer_costs: dict[str, float] = {}
     for replica in usable:
@@ -138,17 +142,19 @@
         prefill = 0
         noise = 1
     late = query.excess.get(replica.name, 0) * EXCESS_WEIGHT / profile.layers
-    pace = query.paces.get(replica.name, 1)
-    return (step * query.answer + prefill) * pace * crowding * noise + late
+    step_factor = query.paces.get(replica.name, 1)
+    return (
+        step * query.answer + prefill
+    ) * step_factor * crowding * noise + late
 
 
 def _sample_noise(query: PathQuery) -> float:
-    """Draw by what factor a request takes a replica to be slower.
+    """Sample a factor for the cost of a request at a replica.
 
-    While a node knows little of the others, factors are exponential: the
-    fastest of some replicas is then each one's turn in proportion to its
-    pace. Nodes that start together, with all who waited for them, would else
-    send everything to the same few.
+    While a node knows little of the load of others, factors are distributed
+    exponentially. The fastest replica is then chosen in proportion to its
+    speed. Without this, nodes that start together, with all clients that
+    waited for them, would send everything to the same few replicas.
     """
     noise = 1 + _JITTER * query.draw()
     uncertainty = query.load.uncertainty
@@ -158,7 +164,7 @@
 
 
 def estimate_entry_cost(replica: Replica, query: PathQuery) -> float:
-    """Price the beginning of a path at its first replica."""
+    """Estimate the cost of beginning a path at its first replica."""
     entry = 0 if replica.zone == query.zone else ENTRY_COST_SECONDS
     load = query.load.requests.get(replica.name, 0)
     used_fraction = min(1, load / replica.slots)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_release.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_release.py
@@ -1,11 +1,12 @@
 """Frees a replica in the middle of a pool, so that it can close a gap.
 
 When a replica that held a quarter of the model is lost, its neighbours can
-reach only a few layers into the gap. Laying the whole zone out anew makes
-nearly every replica give up what it holds, wait for the requests that pass
-through it and load most of a model: measured, 11 s without a path in the zone.
-Here two neighbours grow over what one replica holds, and that one alone
-moves into the gap: three loads of a few layers instead of thirteen.
+extend only a few layers into the gap. If the layers of the whole zone are
+assigned anew, nearly every replica gives up its layers, waits for the requests
+that pass through it and loads a large part of the model; a zone had no path
+for 11 s. Instead, two neighbours extend over the layers of one replica, and
+only that replica moves into the gap. This takes three loads of a few layers
+instead of thirteen.
 """
 
 import itertools
@@ -22,11 +23,12 @@
     *,
     moves_redundant: bool,
 ) -> Iterator[Step]:
-    """List the steps that move a replica into a gap and cover what it held.
+    """List steps that move a replica into a gap and cover its former layers.
 
-    :param free: replicas that may be given orders.
-    :param headroom: usual requests for which a changed replica keeps room.
-    :param moves_redundant: whether replicas may move that stand in for others.
+    :param free: replicas that may be given commands.
+    :param headroom: typical requests for which a changed replica keeps memory.
+    :param moves_redundant: whether replicas may move whose layers are held by
+        others as well.
     """
     gap = plan.find_gap()
     if gap is None:
@@ -62,7 +64,7 @@
     plan: PoolPlan,
     headroom: float,
 ) -> Iterator[Step]:
-    """List the growths of neighbours over what a replica holds."""
+    """List the extensions of neighbours that cover the layers of a replica."""
     layers = plan.held[replica.name]
     assert layers is not None
     others = [other for other in holders if other.name != replica.name]
@@ -86,13 +88,13 @@
 
 
 def _reaches(plan: PoolPlan, replica: Replica, layer: int) -> bool:
-    """Whether a replica holds layers on at least one side of a cut."""
+    """Return whether a replica's layers include or touch a boundary."""
     held = plan.held[replica.name]
     return held is not None and held.first <= layer <= held.end
 
 
 def _grow(replica: Replica, plan: PoolPlan, part: LayerRange) -> Move | None:
-    """Grow a replica over a part beside it; nothing if it holds all of it."""
+    """Extend a replica over an adjacent part; None if it holds all of that."""
     held = plan.held[replica.name]
     assert held is not None
     grown = LayerRange(min(held.first, part.first), max(held.end, part.end))
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
@@ -1,39 +1,39 @@
-"""When refused clients may come back.
+"""Assigns the delays after which refused clients may retry.
 
-Answers the pattern in which many are refused within seconds. Told the same
-time they all come back together, find the places taken by those who came
-meanwhile, and are refused again, which leaves them with nothing. So each one
-gets a turn of its own, later than those refused before it, at the pace at
-which places come free. A short surge is over by the time of the later turns.
+When many clients are refused within seconds and are given the same delay, they
+all return together, find the places taken by clients that came meanwhile, and
+are refused again. Each client is therefore given its own time, later than
+those refused before it, at the rate at which places become free. A short surge
+is over by the time the later clients return.
 """
 
 import math
 
 RATE_SECONDS = 2.0
-"""Time over which the pace of places is averaged: that of a usual answer."""
+"""Averaging time of the rate of places: the duration of a typical answer."""
 
 RETURN_SHARE = 0.25
-"""Share of the places that those who return are taken to get.
+"""Fraction of the places that is planned for clients that retry.
 
-The others go to those who come for the first time, as an answer that is in
-time is worth four late ones to its caller.
+The others go to new requests: to its client, an answer in time is worth four
+late ones.
 """
 
 MIN_RATE = 0.5
-"""Places a second that are expected at least, so that a turn has a time."""
+"""Lower bound of the expected places per second, so that a delay is finite."""
 
 MIN_DELAY_SECONDS = 1.0
-"""Earliest turn: half of a usual answer, so some places are free by then."""
+"""Minimum delay: half of a typical answer, so some places are free by then."""
 
 MAX_WAIT_FRACTION = 0.333
-"""Share of what is left of a client's time beyond which it does not wait."""
+"""Maximum fraction of a client's remaining time that a delay may take."""
 
 _SPREAD = 0.3
-"""Share of the longest wait over which turns beyond it are spread."""
+"""Fraction of the maximum delay over which later retries are spread."""
 
 
 class ReturnPlan:
-    """Turns for refused clients, as one node gives them."""
+    """Retry times that one node has assigned to refused clients."""
 
     def __init__(self) -> None:
         self._rate = 0.0
@@ -41,15 +41,15 @@
         self._last = 0.0
 
     def note_start(self, now: float) -> None:
-        """Note that a request got a place."""
+        """Record that a request was admitted."""
         self._rate = self._decay(now) + 1 / RATE_SECONDS
         self._updated = now
 
     def give_turn(self, now: float, left: float, sample: float) -> float:
-        """Tell a refused client after how many seconds it may come back.
+        """Return the seconds after which a refused client may retry.
 
-        :param left: seconds that it goes on waiting for an answer.
-        :param sample: from 0 to 1.
+        :param left: seconds that the client goes on waiting for an answer.
+        :param sample: random number from 0 to 1.
         """
         rate = max(MIN_RATE, self._decay(now) * RETURN_SHARE)
         turn = max(now + MIN_DELAY_SECONDS, self._last + 1 / rate)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_suspicion.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_suspicion.py
@@ -1,30 +1,30 @@
-"""Replicas that a node has reason to keep away from for a while."""
+"""Keeps track of replicas that a node avoids for a while."""
 
 from collections.abc import Iterable
 
 UNREACHABLE_SECONDS = 4.0
-"""How long a replica that could not be reached is avoided.
+"""Time for which an unreachable replica is avoided.
 
-Its entry in the registry goes after three missed heartbeats of 1.2 s; until
-then it is still listed. A little longer, and the entry has gone.
+Its entry is listed until the registry has missed three heartbeats of 1.2 s.
+This time is a little longer, so the entry has gone by its end.
 """
 
 FULL_SECONDS = 0.3
-"""How long a replica that had no room is avoided.
+"""Time for which a replica without free memory or slots is avoided.
 
-About the lag of reports and a fifth of a usual answer: places come free
-meanwhile.
+It is about the delay of reports and a fifth of a typical answer; places become
+free meanwhile.
 """
 
 
 class Suspects:
-    """Replicas to avoid, by name, each until some time."""
+    """Replicas to avoid, by name, each until a given time."""
 
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
     def add(self, name: str, until: float) -> bool:
-        """Avoid a replica until some time.
+        """Avoid a replica until a given time.
 
         :returns: whether it was not avoided already.
         """
@@ -33,7 +33,7 @@
         return not known
 
     def clear(self, name: str) -> None:
-        """Trust a replica again, as after an answer from it."""
+        """Stop avoiding a replica, as after a response from it."""
         self._until.pop(name, None)
 
     def list_names(self, now: float) -> frozenset[str]:
@@ -44,7 +44,7 @@
         return frozenset(self._until)
 
     def keep(self, names: Iterable[str]) -> None:
-        """Forget all replicas but those that are still listed."""
+        """Forget all but the replicas that are still listed."""
         known = set(names)
         self._until = {
             name: until for name, until in self._until.items() if name in known
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LayerRange:
-    """Layers from ``first`` up to, but without, ``end``."""
+    """Layers from ``first`` up to, but excluding, ``end``."""
 
     first: int
     end: int
@@ -16,27 +16,27 @@
         return self.end - self.first
 
     def covers(self, other: 'LayerRange') -> bool:
-        """Whether all layers of another range are in this one."""
+        """Return whether all layers of another range are in this one."""
         return self.first <= other.first and other.end <= self.end
 
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """One life of an upstream process, as the registry lists it.
+    """One incarnation of an upstream process, as the registry lists it.
 
-    A process may start again under the entry that it had, and then holds
-    nothing. All that a node knows of a replica is kept by the name of its
-    life, so nothing learned of an earlier one is held against a later one.
+    A process may restart under the same registry entry, and then holds no
+    layers. State about a replica is stored by the name of its incarnation, so
+    nothing recorded of an earlier incarnation is applied to a later one.
 
-    :param name: of this life; a restart has a new one.
-    :param entry: the registry's name for it, which a later life may share.
-    :param born: when this life began, in milliseconds; 0 if it didn't say.
+    :param name: of this incarnation; a restarted process has a new one.
+    :param entry: name in the registry, which a later incarnation may share.
+    :param born: start of this incarnation in milliseconds; 0 if not reported.
     :param address: ``host:port``; may belong to another replica later.
-    :param accelerator: its kind; empty for a plain service.
-    :param layers: what it holds, or nothing yet.
+    :param accelerator: its kind; empty for a service without a model.
+    :param layers: those it holds; None if it holds none yet.
     :param version: of the weights that it holds.
-    :param slots: requests that it works on at once.
-    :param leaving: whether it said that it will stop.
+    :param slots: number of requests that it processes at once.
+    :param leaving: whether it has announced that it will stop.
     """
 
     name: str
@@ -52,26 +52,26 @@
     born: int = 0
 
     def __post_init__(self) -> None:
-        """Take the name for the entry's where lives are not told apart."""
+        """Use the name as entry where incarnations are not distinguished."""
         if not self.entry:
             object.__setattr__(self, 'entry', self.name)
 
 
 def name_life(entry: str, born: int) -> str:
-    """Name the life of a replica that the registry lists under an entry.
+    """Build the name of an incarnation of a registry entry.
 
-    :param born: milliseconds; 0 where lives are not told apart.
+    :param born: milliseconds; 0 where incarnations are not distinguished.
     """
     return f'{entry}+{born}' if born else entry
 
 
 @dataclass(frozen=True, slots=True)
 class Accelerator:
-    """A kind of accelerator, relative to the profile's figures.
+    """Memory of a kind of accelerator, and its speed relative to the profile.
 
-    :param memory_mb: for layers and for requests together.
-    :param step_factor: by which token steps take longer.
-    :param read_factor: by which reading prompts takes longer.
+    :param memory_mb: for layers and KV caches together.
+    :param step_factor: factor of the duration of decode steps.
+    :param read_factor: factor of the duration of prefill.
     """
 
     memory_mb: float
@@ -81,17 +81,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelProfile:
-    """What a service's engines need for a model, and how fast they are.
+    """Memory use and speed of a service's engines for a model.
 
-    Times are for all layers; a part of them takes its share.
+    Times are for all layers; those of a part are proportional to its layers.
 
-    :param cache_mb: memory of one token in one layer.
-    :param step_ms: of one token step, whatever the batch.
-    :param writer_ms: added to a step for each request that writes.
-    :param read_per_ms: tokens of prompts read in a millisecond.
+    :param layer_mb: weights of one layer.
+    :param cache_mb: KV cache of one token in one layer.
+    :param step_ms: duration of one decode step, whatever the batch.
+    :param writer_ms: added to a step for each request that is decoded.
+    :param read_per_ms: tokens of prompts processed in a millisecond of
+        prefill.
     :param load_seconds: to load all layers.
     :param usual_prompt: mean tokens of a prompt.
     :param usual_answer: mean tokens of an answer.
+    :param accelerators: by name of their kind.
     """
 
     layers: int
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -1,23 +1,23 @@
-"""How many requests a node may have in progress at each first replica.
-
-Answers the pattern in which more requests come than the engines can serve.
-A first replica works on as many as it has slots and queues some more; those
-wait for seconds, their callers leave, and the work done for them is lost. A
-node sees its own requests only, and clients come unevenly, so no share of the
-slots by count fits. The time to a first event tells each node how full a
-first replica is, whoever fills it: it is 0.05 s where there is a slot, and a
-second where there is none.
-
-So each node keeps a window for each first replica, as senders do on a link
-that they share: it grows by one while as many requests as it holds see their
-first event in time, and shrinks at once when one of them is late. What is
-beyond the window goes to another first replica, or is refused with a time to
-come back.
-
-Measured on played days of twice to four times the usual traffic, three or two
-seeds each: worth 0.10 without and 0.36 with windows and turns at four times,
-0.44 and 0.69 at twice and thrice, 0.44 and 0.67 when a surge meets a loss. On
-the standard days of three sites nothing changes beyond the spread.
+"""Limits the requests that a node has in progress at each first replica.
+
+This protects engines when more requests arrive than they can serve. A first
+replica processes as many requests as it has slots and queues some more. The
+queued ones wait for seconds, their clients leave, and the work done for them
+is lost. A node sees its own requests only, and clients arrive unevenly, so a
+fixed share of the slots for each node does not work. The time to the first
+event shows each node how full a first replica is, whoever fills it: it is 0.05
+s if there is a free slot, and a second if there is none.
+
+Each node therefore has a concurrency window for each first replica, similar to
+congestion control of senders on a shared link. It grows while the requests
+that it admits see their first event in time, and shrinks at once when one of
+them is late. Requests above the window go to another first replica, or are
+refused with a time at which to retry.
+
+On simulated days, windows together with retry delays raise the benefit score
+from 0.10 to 0.36 at four times the usual traffic, from 0.44 to 0.69 at twice
+and three times, and from 0.44 to 0.67 when a surge coincides with the loss of
+replicas. On days of usual traffic the score changes within its spread.
 """
 
 import math
@@ -26,71 +26,73 @@
 from dataclasses import dataclass
 
 LATE_SHRINK_FACTOR = 0.85
-"""Share of the requests in progress that a late first event leaves.
+"""Factor of the requests in progress to which a late first event shrinks.
 
-Queues are short then: less than half of the objective was spent in one.
+Queues are still short then: the wait took less than half of the objective.
 """
 
 REFUSAL_SHRINK_FACTOR = 0.7
-"""The same after a refusal for want of room, which comes of a full queue."""
+"""Factor of the requests in progress after a refusal due to a full queue."""
 
 LEAST_WINDOW = 0.1
-"""Below one, a window is the chance that a request may go there at all.
+"""Lower bound of a window; below 1 it is the probability of admission.
 
-Where there are more nodes than slots, one request of each would be too many.
+If there are more nodes than slots, one request of each would be too many.
 """
 
 YIELDING_SHARE = 0.8
-"""Share of a window that requests may use which leave a part to others.
+"""Fraction of a window that is open to requests that yield to others.
 
-These are requests whose answers are late anyway, as they were refused before:
-with the whole window for them, those who came for the first time were made
-late too, and an answer in time is worth four late ones. And requests of
-client accounts that have more than their share in progress.
+Such requests were refused before, so their answers are late anyway. When they
+could use the whole window, new requests became late as well, and an answer in
+time is worth four late ones. Requests of client accounts that exceed their
+share yield too.
 """
 
 LATE_SHARE = 0.5
-"""Share of the objective that the first event of a free path stays below.
+"""Fraction of the objective within which the first event of a free path comes.
 
-Reading a long prompt takes 0.1 s; the rest is for the callers' own way.
+The prefill of a long prompt takes 0.1 s; the remainder is for the network
+between client and node.
 """
 
 SHRINK_COOLDOWN_SECONDS = 0.5
-"""Time in which a window shrinks once.
+"""Time during which a window does not shrink again.
 
-The requests that were sent before it shrank are late too, and tell nothing
-of the window as it is now.
+Requests that were sent before the window shrank are late too, but give no
+information about its current size.
 """
 
 GROWTH_PER_ROUND = 2.0
-"""By how much a window grows while as many as it holds come in time.
+"""Growth of a window while as many requests as it admits come in time.
 
-One takes three answers' time to use what has come free, a second each.
+With a growth of 1, it takes the time of three answers, of a second each, to
+use slots that have become free.
 """
 
 MAX_GROWTH_FRACTION = 0.1
-"""Share by which one request lets a window grow at most.
+"""Maximum growth of a window per request, as a fraction of the window.
 
-Where two hundred nodes share the slots a window is below one; growing by a
-whole request each, all of them together overran the slots again and again.
+If two hundred nodes share the slots, windows are below 1. When they grew by a
+whole request each, all nodes together overran the slots repeatedly.
 """
 
 _MIN_USED_FRACTION = 0.7
-"""Share of a window that must be in use for it to grow."""
+"""Fraction of a window that must be in use for it to grow."""
 
 
 @dataclass(slots=True)
 class _Window:
-    """A limit, and until when it does not shrink again."""
+    """Limit of a window, and the time until which it does not shrink again."""
 
     limit: float
     cooldown_until: float
 
 
 class Windows:
-    """The windows of one node, by name of the first replica.
+    """Concurrency windows of one node, by name of the first replica.
 
-    :param draw: draws numbers from 0 to 1.
+    :param draw: returns random numbers from 0 to 1.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
@@ -99,19 +101,20 @@
         self._windows: dict[str, _Window] = {}
 
     def add(self, name: str) -> None:
-        """Note a request that was sent to a first replica."""
+        """Record a request that was sent to a first replica."""
         self.requests[name] += 1
 
     def remove(self, name: str) -> None:
-        """Note the end of one."""
+        """Record that a request at a first replica has finished."""
         self.requests[name] -= 1
         if self.requests[name] <= 0:
             del self.requests[name]
 
     def list_closed(self, *, yields: bool = False) -> frozenset[str]:
-        """Name the first replicas that should get no more requests now.
+        """List the first replicas that should get no more requests now.
 
-        :param yields: whether the request leaves a part to others.
+        :param yields: whether the request leaves a part of the window to
+            others.
         """
         fraction = YIELDING_SHARE if yields else 1
         return frozenset(
@@ -121,7 +124,7 @@
         )
 
     def read_limit(self, name: str) -> float:
-        """Tell the window of a first replica; infinite before it was full."""
+        """Return the window of a first replica; infinite before it was full."""
         window = self._windows.get(name)
         return math.inf if window is None else window.limit
 
@@ -132,9 +135,10 @@
         objective: float,
         now: float,
     ) -> None:
-        """Note how long a first event took.
+        """Record the time to the first event of a request.
 
-        :param objective: seconds in which the caller wants it.
+        :param seconds: that it took.
+        :param objective: seconds within which the client expects it.
         """
         if seconds > objective * LATE_SHARE:
             self._shrink(name, LATE_SHRINK_FACTOR, now)
@@ -142,11 +146,11 @@
             self._grow(name)
 
     def note_full(self, name: str, now: float) -> None:
-        """Note a refusal for want of room at a first replica."""
+        """Record that a first replica refused a request because it was full."""
         self._shrink(name, REFUSAL_SHRINK_FACTOR, now)
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all first replicas but some."""
+        """Forget all but the given first replicas."""
         self._windows = {
             name: window
             for name, window in self._windows.items()
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_zones.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_zones.py
@@ -7,9 +7,10 @@
 from ryelatch_core.fleet._types import ModelProfile, Replica
 
 MIN_HEADROOM = 8
-"""Usual requests that must fit beside the layers of a replica.
+"""Minimum headroom of a replica, in typical requests.
 
-Below this it refuses more than it serves, as sizes differ threefold.
+With less it refuses more requests than it serves, as their sizes differ
+threefold.
 """
 
 
@@ -17,7 +18,10 @@
     replicas: Iterable[Replica],
     profile: ModelProfile,
 ) -> list[list[Replica]]:
-    """Group replicas by zone where a zone can hold all layers."""
+    """Group replicas by zone if every zone can hold all layers.
+
+    Otherwise all replicas form a single pool.
+    """
     usable = [
         replica
         for replica in replicas
@@ -32,5 +36,5 @@
 
 
 def _holds_all(pool: list[Replica], profile: ModelProfile) -> bool:
-    """Whether a pool can hold all layers with the least room."""
+    """Return whether a pool can hold all layers with the minimum headroom."""
     return sum(fit_pool(pool, profile, MIN_HEADROOM)) >= profile.layers
