--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._rate = 0.0
         self._updated = 0.0
-        self._last = 0.0
+        self._last_retry_at = 0.0
 
     def note_start(self, now: float) -> None:
         """Record that a request was admitted."""
@@ -52,12 +52,12 @@
         :param sample: random number from 0 to 1.
         """
         rate = max(MIN_RATE, self._decay(now) * RETURN_SHARE)
-        turn = max(now + MIN_DELAY_SECONDS, self._last + 1 / rate)
+        retry_at = max(now + MIN_DELAY_SECONDS, self._last_retry_at + 1 / rate)
         max_wait = left * MAX_WAIT_FRACTION
-        if turn - now >= max_wait:
+        if retry_at - now >= max_wait:
             return max_wait * (1 - _SPREAD * sample)
-        self._last = turn
-        return turn - now
+        self._last_retry_at = retry_at
+        return retry_at - now
 
     def _decay(self, now: float) -> float:
         return self._rate * math.exp((self._updated - now) / RATE_SECONDS)
--- a/tests/core/fleet/test_accounts.py
+++ b/tests/core/fleet/test_accounts.py
@@ -16,13 +16,13 @@
 from ryelatch_core.fleet import AccountBook, Windows
 
 _WINDOW = 40
-_USUAL = 2.5
+_USUAL_RATE = 2.5
 _SMALL = [f'small-{number}' for number in range(9)]
 
 
-def _open_window(chance: random.Random) -> Windows:
+def _open_window(rng: random.Random) -> Windows:
     """Make a window of forty, as a surge leaves it."""
-    windows = Windows(chance.random)
+    windows = Windows(rng.random)
     for _ in range(_WINDOW):
         windows.add('head')
     windows.note_first('head', 9, 1, 0)
@@ -31,33 +31,33 @@
     return windows
 
 
-def _play(surge: float, *, shares: bool) -> Counter[str]:
+def _simulate(surge: float, *, enforce_shares: bool) -> Counter[str]:
     """Count the requests of each account that get a place in a minute."""
-    chance = random.Random(1)
-    windows, book = _open_window(chance), AccountBook()
-    rates = dict.fromkeys(_SMALL, _USUAL) | {'large': _USUAL * surge}
-    order = itertools.count()
+    rng = random.Random(1)
+    windows, tracker = _open_window(rng), AccountBook()
+    rates = dict.fromkeys(_SMALL, _USUAL_RATE) | {'large': _USUAL_RATE * surge}
+    sequence = itertools.count()
     events: list[tuple[float, int, str, str]] = []
     for account, rate in rates.items():
-        at = chance.expovariate(rate)
+        at = rng.expovariate(rate)
         while at < 60:
-            heapq.heappush(events, (at, next(order), 'come', account))
-            at += chance.expovariate(rate)
+            heapq.heappush(events, (at, next(sequence), 'come', account))
+            at += rng.expovariate(rate)
     served: Counter[str] = Counter()
     while events:
-        at, _, what, account = heapq.heappop(events)
-        if what == 'end':
+        at, _, kind, account = heapq.heappop(events)
+        if kind == 'end':
             windows.remove('head')
-            book.remove(account)
+            tracker.remove(account)
             continue
-        yields = shares and book.is_heavy(account)
+        yields = enforce_shares and tracker.is_heavy(account)
         if 'head' in windows.list_closed(yields=yields):
             continue
         windows.add('head')
-        book.add(account)
+        tracker.add(account)
         served[account] += 1
-        lasts = chance.uniform(0.5, 1.5)
-        heapq.heappush(events, (at + lasts, next(order), 'end', account))
+        duration = rng.uniform(0.5, 1.5)
+        heapq.heappush(events, (at + duration, next(sequence), 'end', account))
     return served
 
 
@@ -66,31 +66,31 @@
 
 
 def test_small_accounts_keep_their_share() -> None:
-    quiet = _sum_small(_play(0.5, shares=True))
-    shared = _sum_small(_play(8, shares=True))
-    unshared = _sum_small(_play(8, shares=False))
+    quiet = _sum_small(_simulate(0.5, enforce_shares=True))
+    shared = _sum_small(_simulate(8, enforce_shares=True))
+    unshared = _sum_small(_simulate(8, enforce_shares=False))
     assert shared > 0.9 * quiet
     assert unshared < 0.8 * quiet
 
 
 def test_surge_uses_what_others_leave() -> None:
     """Places are not kept empty for accounts that send nothing more."""
-    served = _play(8, shares=True)
+    served = _simulate(8, enforce_shares=True)
     assert served.total() > 0.7 * _WINDOW * 60
-    assert served['large'] > 2 * _USUAL * 60
+    assert served['large'] > 2 * _USUAL_RATE * 60
 
 
 @pytest.mark.parametrize('busy', [1, 10])
 def test_even_accounts_are_not_heavy(busy: int) -> None:
-    book = AccountBook()
+    tracker = AccountBook()
     for number, _ in itertools.product(range(busy), range(5)):
-        book.add(f'account-{number}')
-    assert not any(book.is_heavy(f'account-{one}') for one in range(busy))
+        tracker.add(f'account-{number}')
+    assert not any(tracker.is_heavy(f'account-{one}') for one in range(busy))
 
 
 def test_few_requests_are_not_heavy() -> None:
     """One account has two requests, the other one."""
-    book = AccountBook()
+    tracker = AccountBook()
     for account in ('one', 'one', 'other'):
-        book.add(account)
-    assert not book.is_heavy('one')
+        tracker.add(account)
+    assert not tracker.is_heavy('one')
--- a/tests/core/fleet/test_copies.py
+++ b/tests/core/fleet/test_copies.py
@@ -11,24 +11,24 @@
 from core_fleet import USUAL, ZONES, make_fleet, make_query
 from ryelatch_core.fleet import Replica, choose_path, plan_moves
 
-_MOST_HEAD_SHARE = 0.1
+_MAX_FIRST_LAYERS_RATIO = 0.1
 
 
 def _place(fleet: list[Replica]) -> list[Replica]:
     moves = {move.replica.name: move for move in plan_moves(fleet, USUAL)}
     return [
-        dataclasses.replace(one, layers=moves[one.name].layers)
-        if one.name in moves
-        else one
-        for one in fleet
+        dataclasses.replace(replica, layers=moves[replica.name].layers)
+        if replica.name in moves
+        else replica
+        for replica in fleet
     ]
 
 
-def _list_heads(fleet: list[Replica], zone: str) -> list[Replica]:
+def _list_first_replicas(fleet: list[Replica], zone: str) -> list[Replica]:
     return [
-        one
-        for one in fleet
-        if one.zone == zone and one.layers and not one.layers.first
+        replica
+        for replica in fleet
+        if replica.zone == zone and replica.layers and not replica.layers.first
     ]
 
 
@@ -36,18 +36,22 @@
 def test_lost_first_replica_leaves_its_zone_whole(zone: str) -> None:
     """Any first replica ends: requests of its zone find a path there still."""
     placed = _place(make_fleet())
-    for head in _list_heads(placed, zone):
-        rest = [one for one in placed if one is not head and one.zone == zone]
-        assert choose_path(rest, make_query(zone=zone))
+    for first_replica in _list_first_replicas(placed, zone):
+        remaining = [
+            replica
+            for replica in placed
+            if replica is not first_replica and replica.zone == zone
+        ]
+        assert choose_path(remaining, make_query(zone=zone))
 
 
 def test_three_first_replicas_end_and_paths_stay() -> None:
     """One first replica of each zone ends; no zone lacks layers."""
     placed = _place(make_fleet())
-    lost = {_list_heads(placed, zone)[0].name for zone in ZONES}
-    rest = [one for one in placed if one.name not in lost]
+    lost = {_list_first_replicas(placed, zone)[0].name for zone in ZONES}
+    remaining = [replica for replica in placed if replica.name not in lost]
     for zone in ZONES:
-        inside = [one for one in rest if one.zone == zone]
+        inside = [replica for replica in remaining if replica.zone == zone]
         assert choose_path(inside, make_query(zone=zone))
 
 
@@ -55,33 +59,44 @@
     """A first replica holds few layers, as nothing begins until they load."""
     placed = _place(make_fleet())
     for zone in ZONES:
-        for head in _list_heads(placed, zone):
-            assert head.layers
-            assert len(head.layers) <= USUAL.layers * _MOST_HEAD_SHARE
+        for first_replica in _list_first_replicas(placed, zone):
+            assert first_replica.layers
+            assert (
+                len(first_replica.layers)
+                <= USUAL.layers * _MAX_FIRST_LAYERS_RATIO
+            )
 
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_lost_first_replica_is_made_up_for(zone: str) -> None:
     """After the loss of one of two, an empty replica becomes the second."""
     placed = _place(make_fleet())
-    lost = _list_heads(placed, zone)[0]
-    rest = _place([one for one in placed if one is not lost])
-    assert len(_list_heads(rest, zone)) >= 2
+    lost = _list_first_replicas(placed, zone)[0]
+    remaining = _place([replica for replica in placed if replica is not lost])
+    assert len(_list_first_replicas(remaining, zone)) >= 2
 
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_second_first_replica_closes_no_gap(zone: str) -> None:
     """Moved there, it would first wait for the streams that began at it."""
     placed = _place(make_fleet())
-    heads = _list_heads(placed, zone)
+    first_replicas = _list_first_replicas(placed, zone)
     lost = next(
-        one for one in placed if one.name == f'{zone}-v100-3' and one.layers
+        replica
+        for replica in placed
+        if replica.name == f'{zone}-v100-3' and replica.layers
     )
-    rest = [one for one in placed if one is not lost and one.layers]
-    moved = {move.replica.name: move.layers for move in plan_moves(rest, USUAL)}
-    for head in heads:
-        assert head.layers
-        assert moved.get(head.name, head.layers).covers(head.layers)
+    remaining = [
+        replica for replica in placed if replica is not lost and replica.layers
+    ]
+    moved = {
+        move.replica.name: move.layers for move in plan_moves(remaining, USUAL)
+    }
+    for first_replica in first_replicas:
+        assert first_replica.layers
+        assert moved.get(first_replica.name, first_replica.layers).covers(
+            first_replica.layers
+        )
 
 
 def test_pool_without_room_begins_once() -> None:
@@ -90,7 +105,7 @@
         Replica(f'r-{number}', 'model', f'r-{number}:80', 'zone-a', 'a100')
         for number in range(3)
     ]
-    assert len(_list_heads(_place(fleet), 'zone-a')) == 1
+    assert len(_list_first_replicas(_place(fleet), 'zone-a')) == 1
 
 
 def test_several_copies_begin_once_each() -> None:
@@ -103,11 +118,11 @@
     placed = _place(fleet)
     copies = min(
         sum(
-            one.layers.first <= layer < one.layers.end
-            for one in placed
-            if one.layers
+            replica.layers.first <= layer < replica.layers.end
+            for replica in placed
+            if replica.layers
         )
         for layer in range(USUAL.layers)
     )
     assert copies >= 2
-    assert len(_list_heads(placed, 'zone-a')) == copies
+    assert len(_list_first_replicas(placed, 'zone-a')) == copies
--- a/tests/core/fleet/test_failures.py
+++ b/tests/core/fleet/test_failures.py
@@ -8,27 +8,29 @@
 _NAMES = ('good-1', 'grey', 'good-2')
 
 
-def _choose(book: FailureBook, now: float, draw: random.Random) -> str:
-    failing = book.list_failing(now)
-    return draw.choice([name for name in _NAMES if name not in failing])
+def _choose(tracker: FailureBook, now: float, rng: random.Random) -> str:
+    failing = tracker.list_failing(now)
+    return rng.choice([name for name in _NAMES if name not in failing])
 
 
-def _play(fails: float, usual: float, rate: float) -> Counter[str]:
+def _simulate(
+    failure_ratio: float, baseline: float, rate: float
+) -> Counter[str]:
     """Send requests for a minute; one of three replicas fails some more.
 
-    :param fails: share that it fails.
-    :param usual: share that every replica fails.
+    :param failure_ratio: share that it fails.
+    :param baseline: share that every replica fails.
     :param rate: requests of this node a second.
     """
-    book = FailureBook()
-    draw = random.Random(4)
+    tracker = FailureBook()
+    rng = random.Random(4)
     sent: Counter[str] = Counter()
     for number in range(int(60 * rate)):
         now = number / rate
-        name = _choose(book, now, draw)
+        name = _choose(tracker, now, rng)
         sent[name] += 1
-        share = max(usual, fails if name == 'grey' else 0)
-        book.note(name, 'route', now, failed=draw.random() < share)
+        ratio = max(baseline, failure_ratio if name == 'grey' else 0)
+        tracker.note(name, 'route', now, failed=rng.random() < ratio)
     return sent
 
 
@@ -38,20 +40,20 @@
     Failing at once it looked idle and fast, and got more than a third of
     all bookings, none of which may be sent again.
     """
-    sent = _play(fails=0.45, usual=0.004, rate=3)
+    sent = _simulate(failure_ratio=0.45, baseline=0.004, rate=3)
     assert sent['grey'] < sent.total() / 4
 
 
 def test_usual_failures_are_nobodys_fault() -> None:
     """A route fails one in seven at every replica; none is left for it."""
-    sent = _play(fails=0.14, usual=0.14, rate=5)
+    sent = _simulate(failure_ratio=0.14, baseline=0.14, rate=5)
     assert min(sent.values()) > 0.25 * sent.total()
 
 
 def test_replica_is_tried_again() -> None:
     """A replica failed everything and is well again."""
-    book = FailureBook()
+    tracker = FailureBook()
     for now in range(4):
-        book.note('grey', 'route', now, failed=True)
-    assert book.list_failing(4) == {'grey'}
-    assert not book.list_failing(12)
+        tracker.note('grey', 'route', now, failed=True)
+    assert tracker.list_failing(4) == {'grey'}
+    assert not tracker.list_failing(12)
--- a/tests/core/fleet/test_first_replicas.py
+++ b/tests/core/fleet/test_first_replicas.py
@@ -11,7 +11,7 @@
 from ryelatch_core.fleet import rank_heads
 
 _ZONES = ('zone-a', 'zone-b', 'zone-c')
-_HEADS = [
+_FIRST_REPLICAS = [
     make_replica(f'{zone}-{number}', 0, 5, zone)
     for zone, number in itertools.product(_ZONES, range(2))
 ]
@@ -20,34 +20,37 @@
 
 def test_last_first_replica_of_a_zone_comes_last() -> None:
     """The zone that has lost one of two is spared, as it has no other."""
-    left = [one for one in _HEADS if one.name != 'zone-b-0']
+    remaining = [one for one in _FIRST_REPLICAS if one.name != 'zone-b-0']
     for digest in _DIGESTS:
-        assert rank_heads(digest, left)[-1].name == 'zone-b-1'
+        assert rank_heads(digest, remaining)[-1].name == 'zone-b-1'
 
 
 def test_copies_of_a_request_meet() -> None:
     """Nodes that list replicas in another order send them to the same one."""
     for digest in _DIGESTS:
-        found = rank_heads(digest, reversed(_HEADS))
-        assert found == rank_heads(digest, _HEADS)
+        found = rank_heads(digest, reversed(_FIRST_REPLICAS))
+        assert found == rank_heads(digest, _FIRST_REPLICAS)
 
 
 def test_those_that_lost_one_replica_part() -> None:
     """Requests that lose a replica together don't lose the next together."""
-    firsts = Counter(rank_heads(one, _HEADS)[0].name for one in _DIGESTS)
-    assert len(firsts) == len(_HEADS)
-    assert max(firsts.values()) <= len(_DIGESTS) / 2
+    counts = Counter(
+        rank_heads(one, _FIRST_REPLICAS)[0].name for one in _DIGESTS
+    )
+    assert len(counts) == len(_FIRST_REPLICAS)
+    assert max(counts.values()) <= len(_DIGESTS) / 2
 
 
 def test_order_of_one_tells_nothing_of_another() -> None:
     """Names differ in few letters, and so do digests."""
     orders = {
-        tuple(head.name for head in rank_heads(one, _HEADS)) for one in _DIGESTS
+        tuple(head.name for head in rank_heads(one, _FIRST_REPLICAS))
+        for one in _DIGESTS
     }
     assert len(orders) > len(_DIGESTS) * 0.8
 
 
 def test_other_replicas_are_left_out() -> None:
     """No path begins at them."""
-    others = [make_replica('other', 5, 80), *_HEADS]
-    assert len(rank_heads(_DIGESTS[0], others)) == len(_HEADS)
+    others = [make_replica('other', 5, 80), *_FIRST_REPLICAS]
+    assert len(rank_heads(_DIGESTS[0], others)) == len(_FIRST_REPLICAS)
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -135,31 +135,31 @@
     replicas = [make_replica('one', 0, 30), make_replica('two', 0, 30)]
     rest = make_replica('rest', 30, 60)
     tail = make_replica('tail', 60, 80)
-    book = LoadBook()
+    tracker = LoadBook()
     used: Counter[str] = Counter()
-    chance = random.Random(3)
+    rng = random.Random(3)
     for _ in range(40):
         query = make_query(
-            draw=chance.random,
-            own_tokens=book.tokens,
-            load=book.estimate(0),
+            draw=rng.random,
+            own_tokens=tracker.tokens,
+            load=tracker.estimate(0),
         )
         path = choose_path([*replicas, rest, tail], query)
-        book.add(path, 991, 0)
+        tracker.add(path, 991, 0)
         used[path[0].replica.name] += 1
     assert min(used['one'], used['two']) >= 15
 
 
 def test_load_book_forgets_what_ended() -> None:
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
-    book.add(path, 100, 0)
-    book.add(path, 50, 0)
-    book.remove(path, 100, 0)
-    assert dict(book.tokens) == {'one': 50}
-    book.remove(path, 50, 0)
-    assert not book.requests
-    assert not book.tokens
+    tracker = LoadBook()
+    tracker.add(path, 100, 0)
+    tracker.add(path, 50, 0)
+    tracker.remove(path, 100, 0)
+    assert dict(tracker.tokens) == {'one': 50}
+    tracker.remove(path, 50, 0)
+    assert not tracker.requests
+    assert not tracker.tokens
 
 
 def test_fast_copy_is_not_flooded() -> None:
@@ -178,9 +178,9 @@
         make_replica(f'slow-{first}', first, first + 4, kind='v100')
         for first in range(0, 80, 4)
     ]
-    chance = random.Random(5)
-    book = LoadBook()
-    book.share_among(60)
+    rng = random.Random(5)
+    tracker = LoadBook()
+    tracker.share_among(60)
     used: Counter[str] = Counter()
     now = 0.0
     ends: list[tuple[float, tuple[Stage, ...]]] = []
@@ -188,14 +188,14 @@
         now += 0.5
         while ends and ends[0][0] <= now:
             end, path = ends.pop(0)
-            book.remove(path, 991, end)
+            tracker.remove(path, 991, end)
         query = make_query(
-            draw=chance.random,
-            own_tokens=book.tokens,
-            load=book.estimate(now),
+            draw=rng.random,
+            own_tokens=tracker.tokens,
+            load=tracker.estimate(now),
         )
         path = choose_path([*fast, *slow], query)
-        book.add(path, 991, now)
+        tracker.add(path, 991, now)
         ends.append((now + 1.2, path))
         used[path[0].replica.name] += 1
     assert used['slow-0'] >= 4
@@ -230,11 +230,11 @@
     three seconds and sent all to the fastest first replica.
     """
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
-    book.share_among(60)
-    book.estimate(0)
-    book.add(path, 991, 0.1)
-    assert book.estimate(0.5).requests['one'] > 20
+    tracker = LoadBook()
+    tracker.share_among(60)
+    tracker.estimate(0)
+    tracker.add(path, 991, 0.1)
+    assert tracker.estimate(0.5).requests['one'] > 20
 
 
 def _make_zones(names: list[str]) -> list[object]:
--- a/tests/core/fleet/test_plan.py
+++ b/tests/core/fleet/test_plan.py
@@ -87,11 +87,11 @@
     fleet = _apply(make_fleet())
     old = next(one for one in fleet if one.name == 'zone-a-v100-3')
     new = dataclasses.replace(old, name='new', layers=None)
-    rest = [
+    remaining = [
         dataclasses.replace(one, leaving=True) if one is old else one
         for one in fleet
     ]
-    moves = plan_moves([*rest, new], USUAL)
+    moves = plan_moves([*remaining, new], USUAL)
     assert len(moves) == 1
     assert moves[0].replica.layers is None
     assert old.layers is not None
@@ -150,11 +150,11 @@
     replicas, which move into the gap with the spare; most are left alone.
     """
     fleet = _apply(make_fleet())
-    rest = [one for one in fleet if one.name != 'zone-a-a100-0']
-    zone = [one for one in rest if one.zone == 'zone-a']
+    remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
+    zone = [one for one in remaining if one.zone == 'zone-a']
     lost = _find_gaps(_list_held(zone))
     assert len(lost) >= 20
-    moves = {move.replica.name: move for move in plan_moves(rest, USUAL)}
+    moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
     held = [
         moves[one.name].layers if one.name in moves else one.layers
         for one in zone
@@ -178,8 +178,8 @@
     the layers until each replica has room for forty, as it had before.
     """
     fleet = _apply(make_fleet())
-    rest = [one for one in fleet if one.name != 'zone-a-a100-0']
-    moves = {move.replica.name: move for move in plan_moves(rest, USUAL)}
+    remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
+    moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
     for move in moves.values():
         kind = USUAL.accelerators[move.replica.accelerator]
         room = estimate_capacity(USUAL, kind, move.layers)
--- a/tests/core/fleet/test_returns.py
+++ b/tests/core/fleet/test_returns.py
@@ -29,8 +29,8 @@
 def test_nobody_waits_longer_than_it_would() -> None:
     """Beyond a third of what is left clients come back by themselves."""
     plan = _make_plan(10)
-    chance = random.Random(1)
-    turns = [plan.give_turn(6, 18, chance.random()) for _ in range(300)]
+    rng = random.Random(1)
+    turns = [plan.give_turn(6, 18, rng.random()) for _ in range(300)]
     assert max(turns) <= 6
     late = sorted(turns[100:])
     assert late[0] * 2 < 9
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -12,12 +12,12 @@
 from ryelatch_core.fleet import LoadBook, LoadEstimate, choose_path
 
 _NODES = 60
-_EACH = 5
-_MOST_SHARE = 0.5
+_REQUESTS_PER_NODE = 5
+_MAX_RATIO = 0.5
 """The fastest replica has 0.42 of the pace of all."""
 
 _LAYERS = 6
-_SLIGHT = 0.01
+_TOLERANCE = 0.01
 _SMALL = replace(USUAL, layers=_LAYERS)
 _KINDS = ('a100', 'v100', 'v100', 'l4', 'l4', 'l4')
 _REPLICAS = [
@@ -26,41 +26,41 @@
 ]
 
 
-def _spread(*, doubts: bool) -> Counter[str]:
+def _spread(*, use_uncertainty: bool) -> Counter[str]:
     """Send what waited, and count it by first replica."""
     sent: Counter[str] = Counter()
     for node in range(_NODES):
-        load = LoadBook()
+        tracker = LoadBook()
         draw = random.Random(node).random
-        for number in range(_EACH):
+        for number in range(_REQUESTS_PER_NODE):
             now = number * 0.04
-            estimate = load.estimate(now)
-            if not doubts:
+            estimate = tracker.estimate(now)
+            if not use_uncertainty:
                 estimate = LoadEstimate(estimate.requests, estimate.tokens)
             query = make_query(profile=_SMALL, draw=draw, load=estimate)
             path = choose_path(_REPLICAS, query)
-            load.add(path, 991, now)
+            tracker.add(path, 991, now)
             sent[path[0].replica.name] += 1
     return sent
 
 
 def test_what_waited_is_spread_over_all() -> None:
     """The fastest replica gets most, but no more than its pace allows."""
-    sent = _spread(doubts=True)
+    sent = _spread(use_uncertainty=True)
     assert len(sent) == len(_KINDS)
     assert sent.most_common(1)[0][0] == 'r-0'
-    assert sent['r-0'] < _NODES * _EACH * _MOST_SHARE
+    assert sent['r-0'] < _NODES * _REQUESTS_PER_NODE * _MAX_RATIO
 
 
 def test_nodes_that_know_nothing_crowd_one() -> None:
     """Going by what they know, all of them choose the same few."""
-    sent = _spread(doubts=False)
-    assert sent['r-0'] > _NODES * _EACH * _MOST_SHARE
+    sent = _spread(use_uncertainty=False)
+    assert sent['r-0'] > _NODES * _REQUESTS_PER_NODE * _MAX_RATIO
 
 
 def test_doubt_passes() -> None:
     """A node that has run for a while goes by what it knows."""
-    load = LoadBook()
-    load.share_among(_NODES)
-    assert load.estimate(10).uncertainty > 1 - _SLIGHT
-    assert load.estimate(40).uncertainty < _SLIGHT
+    tracker = LoadBook()
+    tracker.share_among(_NODES)
+    assert tracker.estimate(10).uncertainty > 1 - _TOLERANCE
+    assert tracker.estimate(40).uncertainty < _TOLERANCE
--- a/tests/core/fleet/test_step_factors.py
+++ b/tests/core/fleet/test_step_factors.py
@@ -44,20 +44,20 @@
 
 def test_slow_replica_is_trusted_again() -> None:
     """It says so itself, or nothing is heard of it for a while."""
-    book = PaceBook()
-    assert book.note('a', _SLOW, 0)
-    assert not book.note('a', _SLOW, 1)
-    assert book.note('b', _SLOW, 1)
-    assert book.list_slow(2) == {'a': _SLOW, 'b': _SLOW}
-    assert not book.note('a', 1, 2)
-    assert book.list_slow(2) == {'b': _SLOW}
-    assert not book.list_slow(10)
+    tracker = PaceBook()
+    assert tracker.note('a', _SLOW, 0)
+    assert not tracker.note('a', _SLOW, 1)
+    assert tracker.note('b', _SLOW, 1)
+    assert tracker.list_slow(2) == {'a': _SLOW, 'b': _SLOW}
+    assert not tracker.note('a', 1, 2)
+    assert tracker.list_slow(2) == {'b': _SLOW}
+    assert not tracker.list_slow(10)
 
 
 def test_nonsense_of_a_pace_is_bounded() -> None:
     """No word of a replica makes it faster, or its paths endless."""
-    book = PaceBook()
-    assert not book.note('a', -1, 0)
-    assert not book.note('a', 0, 0)
-    assert book.note('a', 1e300, 0)
-    assert book.list_slow(1)['a'] < 1000
+    tracker = PaceBook()
+    assert not tracker.note('a', -1, 0)
+    assert not tracker.note('a', 0, 0)
+    assert tracker.note('a', 1e300, 0)
+    assert tracker.list_slow(1)['a'] < 1000
--- a/tests/core/fleet/test_window.py
+++ b/tests/core/fleet/test_window.py
@@ -24,11 +24,11 @@
 OBJECTIVE = 0.5
 READ_SECONDS = 0.05
 CAPACITY = SLOTS / ANSWER_SECONDS
-SHARES = (1, 1, 1, 2, 2, 3, 4, 5, 6)
+CLIENT_SHARES = (1, 1, 1, 2, 2, 3, 4, 5, 6)
 
 
 @dataclass
-class Head:
+class FirstReplica:
     """A first replica that starts requests in the order in which they come."""
 
     slots: int = SLOTS
@@ -37,87 +37,87 @@
 
 
 @dataclass
-class Play:
+class Result:
     """What became of the requests.
 
     :param in_time: first events within the objective, by second.
-    :param most: requests at the first replica, at most, by second.
+    :param max_requests: requests at the first replica, at most, by second.
     """
 
     in_time: Counter[int] = field(default_factory=Counter)
     refused: int = 0
-    most: Counter[int] = field(default_factory=Counter)
+    max_requests: Counter[int] = field(default_factory=Counter)
 
 
 def _arrive(
     rates: Iterable[float],
     shares: tuple[int, ...],
-    chance: random.Random,
+    rng: random.Random,
 ) -> list[tuple[float, int]]:
     """List arrivals and their nodes; one rate a second."""
     found: list[tuple[float, int]] = []
     for second, rate in enumerate(rates):
-        at = second + chance.expovariate(rate)
+        at = second + rng.expovariate(rate)
         while at < second + 1:
-            found.append((at, chance.choices(range(len(shares)), shares)[0]))
-            at += chance.expovariate(rate)
+            found.append((at, rng.choices(range(len(shares)), shares)[0]))
+            at += rng.expovariate(rate)
     return found
 
 
-def _play(
+def _simulate(
     rates: list[float],
     *,
     limited: bool = True,
-    shares: tuple[int, ...] = SHARES,
+    shares: tuple[int, ...] = CLIENT_SHARES,
     seed: int = 1,
-) -> Play:
+) -> Result:
     """Play arrivals against one first replica."""
-    chance = random.Random(seed)
-    nodes = [Windows(chance.random) for _ in shares]
-    head, play = Head(), Play()
-    order = itertools.count()
+    rng = random.Random(seed)
+    nodes = [Windows(rng.random) for _ in shares]
+    first_replica, result = FirstReplica(), Result()
+    sequence = itertools.count()
     events: list[tuple[float, int, str, int]] = [
-        (at, next(order), 'come', node)
-        for at, node in _arrive(rates, shares, chance)
+        (at, next(sequence), 'come', node)
+        for at, node in _arrive(rates, shares, rng)
     ]
     heapq.heapify(events)
 
-    def start(at: float, came: float, node: int) -> None:
-        head.busy += 1
-        first = at - came + READ_SECONDS
+    def start(at: float, arrived_at: float, node: int) -> None:
+        first_replica.busy += 1
+        first = at - arrived_at + READ_SECONDS
         nodes[node].note_first('head', first, OBJECTIVE, at)
-        play.in_time[int(at)] += first <= OBJECTIVE
-        lasts = ANSWER_SECONDS * chance.uniform(0.3, 1.7)
-        heapq.heappush(events, (at + lasts, next(order), 'end', node))
+        result.in_time[int(at)] += first <= OBJECTIVE
+        duration = ANSWER_SECONDS * rng.uniform(0.3, 1.7)
+        heapq.heappush(events, (at + duration, next(sequence), 'end', node))
 
     while events:
-        at, _, what, node = heapq.heappop(events)
-        if what == 'end':
-            head.busy -= 1
+        at, _, kind, node = heapq.heappop(events)
+        if kind == 'end':
+            first_replica.busy -= 1
             nodes[node].remove('head')
-            if head.waiting:
-                came, waiter = head.waiting.popleft()
-                start(at, came, waiter)
+            if first_replica.waiting:
+                arrived_at, waiter = first_replica.waiting.popleft()
+                start(at, arrived_at, waiter)
             continue
         if limited and 'head' in nodes[node].list_closed():
-            play.refused += 1
-        elif head.busy < head.slots:
+            result.refused += 1
+        elif first_replica.busy < first_replica.slots:
             nodes[node].add('head')
             start(at, at, node)
-        elif len(head.waiting) < QUEUE:
+        elif len(first_replica.waiting) < QUEUE:
             nodes[node].add('head')
-            head.waiting.append((at, node))
+            first_replica.waiting.append((at, node))
         else:
             nodes[node].note_full('head', at)
-            play.refused += 1
-        taken = head.busy + len(head.waiting)
-        play.most[int(at)] = max(play.most[int(at)], taken)
-    return play
+            result.refused += 1
+        taken = first_replica.busy + len(first_replica.waiting)
+        result.max_requests[int(at)] = max(result.max_requests[int(at)], taken)
+    return result
 
 
 def test_usual_load_is_not_limited() -> None:
     """Half of what fits comes; nobody is refused."""
-    assert _play([CAPACITY / 2] * 30).refused == 0
+    assert _simulate([CAPACITY / 2] * 30).refused == 0
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
@@ -127,33 +127,39 @@
     Without windows the queue is never empty and every first event is late.
     """
     rates = [CAPACITY / 2] * 6 + [CAPACITY * 4] * 14
-    limited = _play(rates, seed=seed)
-    free = _play(rates, limited=False, seed=seed)
+    limited = _simulate(rates, seed=seed)
+    unlimited = _simulate(rates, limited=False, seed=seed)
     served = sum(limited.in_time[second] for second in range(10, 20))
     assert served > 0.7 * CAPACITY * 10
-    assert sum(free.in_time[second] for second in range(10, 20)) < 0.1 * served
+    assert (
+        sum(unlimited.in_time[second] for second in range(10, 20))
+        < 0.1 * served
+    )
 
 
 def test_window_settles_after_a_surge_begins() -> None:
     """The queue is short a few seconds into a surge, and stays so."""
-    play = _play([CAPACITY / 2] * 6 + [CAPACITY * 3] * 24)
-    assert max(play.most[second] for second in range(10, 30)) <= SLOTS * 1.25
+    result = _simulate([CAPACITY / 2] * 6 + [CAPACITY * 3] * 24)
+    assert (
+        max(result.max_requests[second] for second in range(10, 30))
+        <= SLOTS * 1.25
+    )
 
 
 def test_window_opens_after_a_surge() -> None:
     """What fits is served again in full when a surge is over."""
     rates = [CAPACITY * 4] * 10 + [CAPACITY * 0.8] * 20
-    play = _play(rates)
-    served = sum(play.in_time[second] for second in range(18, 30))
+    result = _simulate(rates)
+    served = sum(result.in_time[second] for second in range(18, 30))
     assert served > 0.9 * 0.8 * CAPACITY * 12
 
 
 def test_more_nodes_than_slots() -> None:
     """Two hundred nodes share the slots; one request of each is too many."""
-    play = _play(
+    result = _simulate(
         [CAPACITY / 2] * 6 + [CAPACITY * 4] * 30, shares=tuple([1] * 200)
     )
-    served = sum(play.in_time[second] for second in range(20, 36))
+    served = sum(result.in_time[second] for second in range(20, 36))
     assert served > 0.4 * CAPACITY * 16
 
 
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -62,13 +62,13 @@
 
 def make_query(seed: int = 1, **changes: object) -> PathQuery:
     """Ask for a path for a usual request."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fields: dict[str, object] = {
         'profile': USUAL,
         'zone': 'zone-a',
         'prompt': 775,
         'answer': 216,
-        'draw': chance.random,
+        'draw': rng.random,
         **changes,
     }
     return PathQuery(**fields)  # type: ignore[arg-type]
