--- a/tests/core/fleet/test_accounts.py
+++ b/tests/core/fleet/test_accounts.py
@@ -1,9 +1,8 @@
-"""One account sends many times its usual; the others keep their share.
+"""Client accounts keep their share while one of them surges.
 
-The pattern: nine accounts of two to three requests a second each, and one
-that sends eight times as many, while a first replica has places for forty.
-The figures are those of a node with a window of forty and answers of a
-second.
+Nine accounts send two to three requests per second each, and one sends eight
+times as many, while a first replica has 40 places. The node has a concurrency
+window of 40, and answers take a second.
 """
 
 import heapq
@@ -21,7 +20,7 @@
 
 
 def _open_window(rng: random.Random) -> Windows:
-    """Make a window of forty, as a surge leaves it."""
+    """Make windows with one of about forty, as it is during a surge."""
     windows = Windows(rng.random)
     for _ in range(_WINDOW):
         windows.add('head')
@@ -32,7 +31,7 @@
 
 
 def _simulate(surge: float, *, enforce_shares: bool) -> Counter[str]:
-    """Count the requests of each account that get a place in a minute."""
+    """Count the requests of each account that are admitted within a minute."""
     rng = random.Random(1)
     windows, tracker = _open_window(rng), AccountBook()
     rates = dict.fromkeys(_SMALL, _USUAL_RATE) | {'large': _USUAL_RATE * surge}
@@ -74,7 +73,7 @@
 
 
 def test_surge_uses_what_others_leave() -> None:
-    """Places are not kept empty for accounts that send nothing more."""
+    """No places stay empty for accounts that send no more than usual."""
     served = _simulate(8, enforce_shares=True)
     assert served.total() > 0.7 * _WINDOW * 60
     assert served['large'] > 2 * _USUAL_RATE * 60
@@ -89,7 +88,7 @@
 
 
 def test_few_requests_are_not_heavy() -> None:
-    """One account has two requests, the other one."""
+    """An account with two requests is not limited, with one other account."""
     tracker = AccountBook()
     for account in ('one', 'one', 'other'):
         tracker.add(account)
--- a/tests/core/fleet/test_copies.py
+++ b/tests/core/fleet/test_copies.py
@@ -1,7 +1,7 @@
-"""A first replica that ends leaves its zone a beginning of paths.
+"""A zone keeps its paths after the loss of a first replica.
 
-The load is one request that ends each first replica at which it begins, and
-groups of replicas that are lost together.
+First replicas crash when a single request crashes each one at which it begins,
+or when several replicas are lost together.
 """
 
 import dataclasses
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_lost_first_replica_leaves_its_zone_whole(zone: str) -> None:
-    """Any first replica ends: requests of its zone find a path there still."""
+    """Paths within the zone remain, whichever first replica is lost."""
     placed = _place(make_fleet())
     for first_replica in _list_first_replicas(placed, zone):
         remaining = [
@@ -46,7 +46,7 @@
 
 
 def test_three_first_replicas_end_and_paths_stay() -> None:
-    """One first replica of each zone ends; no zone lacks layers."""
+    """Paths remain after the loss of one first replica in each zone."""
     placed = _place(make_fleet())
     lost = {_list_first_replicas(placed, zone)[0].name for zone in ZONES}
     remaining = [replica for replica in placed if replica.name not in lost]
@@ -56,7 +56,7 @@
 
 
 def test_first_layers_are_loaded_soon() -> None:
-    """A first replica holds few layers, as nothing begins until they load."""
+    """First replicas hold few layers, since no path begins until these load."""
     placed = _place(make_fleet())
     for zone in ZONES:
         for first_replica in _list_first_replicas(placed, zone):
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_lost_first_replica_is_made_up_for(zone: str) -> None:
-    """After the loss of one of two, an empty replica becomes the second."""
+    """An empty replica takes the place of one of two first replicas."""
     placed = _place(make_fleet())
     lost = _list_first_replicas(placed, zone)[0]
     remaining = _place([replica for replica in placed if replica is not lost])
@@ -78,7 +78,10 @@
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_second_first_replica_closes_no_gap(zone: str) -> None:
-    """Moved there, it would first wait for the streams that began at it."""
+    """First replicas don't move to close a gap.
+
+    They would first have to wait for the streams that began there.
+    """
     placed = _place(make_fleet())
     first_replicas = _list_first_replicas(placed, zone)
     lost = next(
@@ -100,7 +103,7 @@
 
 
 def test_pool_without_room_begins_once() -> None:
-    """Held twice, the first layers would leave a small pool too little room."""
+    """A small pool has one first replica; two would leave little headroom."""
     fleet = [
         Replica(f'r-{number}', 'model', f'r-{number}:80', 'zone-a', 'a100')
         for number in range(3)
@@ -109,7 +112,7 @@
 
 
 def test_several_copies_begin_once_each() -> None:
-    """Each copy has a first replica, so none is held in reserve."""
+    """Several copies have one first replica each, without a standby."""
     kinds = ('a100', *['v100'] * 24, *['l4'] * 9, 'a100')
     fleet = [
         Replica(f'r-{number}', 'model', f'r-{number}:80', 'zone-a', kind)
--- a/tests/core/fleet/test_durations.py
+++ b/tests/core/fleet/test_durations.py
@@ -1,4 +1,4 @@
-"""Replicas that are slower than others, at a load of few requests."""
+"""Slow replicas are avoided at a low request rate."""
 
 from collections import Counter
 
@@ -14,7 +14,10 @@
     seconds: float,
     slow_seconds: float = _USUAL_SECONDS,
 ) -> Counter[str]:
-    """Send a request each half second; to one replica it may take longer."""
+    """Send two requests a second; the first replica may be slower.
+
+    :param slow_seconds: duration of the requests at that replica.
+    """
     sent: Counter[str] = Counter()
     for number in range(int(seconds * 2)):
         now = start + number / 2
@@ -31,7 +34,7 @@
 
 
 def test_replica_that_hung_once_is_tried_again() -> None:
-    """One request hangs for three seconds, and the replica is well since."""
+    """A replica is tried again after one request hung for three seconds."""
     tracker = DurationBook()
     tracker.note('one', 3, 100)
     assert not _simulate(tracker, 100, 10)['one']
@@ -39,12 +42,15 @@
 
 
 def test_slow_replica_is_rarely_asked() -> None:
-    """One of three replicas takes twelve times as long as the others."""
+    """A replica that takes twelve times as long as others gets few requests."""
     assert _simulate(DurationBook(), 100, 300, 12 * _USUAL_SECONDS)['one'] < 30
 
 
 def test_replica_that_is_gone_is_forgotten() -> None:
-    """A replica hung and was replaced by one of the same name."""
+    """The duration of a hung replica is forgotten when it is replaced.
+
+    The new replica has the same name.
+    """
     tracker = DurationBook()
     tracker.note('one', 3, 100)
     tracker.keep({'two'})
--- a/tests/core/fleet/test_failures.py
+++ b/tests/core/fleet/test_failures.py
@@ -1,4 +1,4 @@
-"""Replicas that fail requests are found, left, and tried again."""
+"""Replicas that fail requests are detected, avoided, and tried again."""
 
 import random
 from collections import Counter
@@ -16,11 +16,11 @@
 def _simulate(
     failure_ratio: float, baseline: float, rate: float
 ) -> Counter[str]:
-    """Send requests for a minute; one of three replicas fails some more.
+    """Send requests for a minute; one of three replicas fails more than others.
 
-    :param failure_ratio: share that it fails.
-    :param baseline: share that every replica fails.
-    :param rate: requests of this node a second.
+    :param failure_ratio: fraction that this replica fails.
+    :param baseline: fraction that every replica fails.
+    :param rate: requests per second of this node.
     """
     tracker = FailureBook()
     rng = random.Random(4)
@@ -35,23 +35,26 @@
 
 
 def test_grey_replica_gets_little() -> None:
-    """One of three replicas fails 45 in 100 with its health check good.
+    """A replica that fails 45 in 100 requests gets few of them.
 
-    Failing at once it looked idle and fast, and got more than a third of
-    all bookings, none of which may be sent again.
+    Its health check passes. It fails immediately, so it looked idle and fast,
+    and got more than a third of all bookings, none of which may be sent again.
     """
     sent = _simulate(failure_ratio=0.45, baseline=0.004, rate=3)
     assert sent['grey'] < sent.total() / 4
 
 
 def test_usual_failures_are_nobodys_fault() -> None:
-    """A route fails one in seven at every replica; none is left for it."""
+    """All replicas stay in use if a route fails equally often at each.
+
+    It fails one in seven requests.
+    """
     sent = _simulate(failure_ratio=0.14, baseline=0.14, rate=5)
     assert min(sent.values()) > 0.25 * sent.total()
 
 
 def test_replica_is_tried_again() -> None:
-    """A replica failed everything and is well again."""
+    """A replica that failed every request is tried again after a while."""
     tracker = FailureBook()
     for now in range(4):
         tracker.note('grey', 'route', now, failed=True)
--- a/tests/core/fleet/test_first_replicas.py
+++ b/tests/core/fleet/test_first_replicas.py
@@ -1,7 +1,7 @@
-"""Where requests go on that may be why replicas ended.
+"""Ranking of first replicas for requests that may have crashed others.
 
-The load is one request that ends the replicas at which it begins, amid others
-that lose theirs with it.
+One request crashes the replicas at which it begins, and other requests lose
+their replica together with it.
 """
 
 import itertools
@@ -19,21 +19,24 @@
 
 
 def test_last_first_replica_of_a_zone_comes_last() -> None:
-    """The zone that has lost one of two is spared, as it has no other."""
+    """The last first replica of a zone ranks last.
+
+    If it crashed too, the zone would have no paths.
+    """
     remaining = [one for one in _FIRST_REPLICAS if one.name != 'zone-b-0']
     for digest in _DIGESTS:
         assert rank_heads(digest, remaining)[-1].name == 'zone-b-1'
 
 
 def test_copies_of_a_request_meet() -> None:
-    """Nodes that list replicas in another order send them to the same one."""
+    """The order at each node is the same, however it lists the replicas."""
     for digest in _DIGESTS:
         found = rank_heads(digest, reversed(_FIRST_REPLICAS))
         assert found == rank_heads(digest, _FIRST_REPLICAS)
 
 
 def test_those_that_lost_one_replica_part() -> None:
-    """Requests that lose a replica together don't lose the next together."""
+    """Requests that lose a replica together part at the next one."""
     counts = Counter(
         rank_heads(one, _FIRST_REPLICAS)[0].name for one in _DIGESTS
     )
@@ -42,7 +45,7 @@
 
 
 def test_order_of_one_tells_nothing_of_another() -> None:
-    """Names differ in few letters, and so do digests."""
+    """Orders differ between requests, though names and digests are similar."""
     orders = {
         tuple(head.name for head in rank_heads(one, _FIRST_REPLICAS))
         for one in _DIGESTS
@@ -51,6 +54,9 @@
 
 
 def test_other_replicas_are_left_out() -> None:
-    """No path begins at them."""
+    """Replicas without the first layers are left out.
+
+    No path begins there.
+    """
     others = [make_replica('other', 5, 80), *_FIRST_REPLICAS]
     assert len(rank_heads(_DIGESTS[0], others)) == len(_FIRST_REPLICAS)
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -1,4 +1,4 @@
-"""Paths run every layer once, stay in their zone, and spread."""
+"""Paths run every layer once, stay in their zone, and spread the load."""
 
 import dataclasses
 import random
@@ -48,10 +48,10 @@
 def test_each_layer_once_or_no_path(
     held: list[tuple[int, int, str, str]], seed: int
 ) -> None:
-    """Replicas hold any ranges, with overlaps and gaps.
+    """A path is correct or empty for any ranges, with overlaps and gaps.
 
-    Upstreams check neither gaps nor overlaps: a wrong path makes wrong
-    tokens, and nobody sees it. A path is either right or not given at all.
+    Upstreams check neither, so a wrong path would produce wrong tokens that
+    nobody notices.
     """
     replicas = [
         make_replica(f'r-{number}', first, min(80, first + size), zone, kind)
@@ -69,10 +69,10 @@
 
 
 def test_paths_stay_in_one_zone() -> None:
-    """All zones hold a copy; a request need not cross the shared pipe.
+    """Paths stay within one zone if all zones hold a copy.
 
-    Which zone it is may be another than its client's: only the text of the
-    prompt and the events cross then, not the activations.
+    It may be another zone than the client's: only the text of the prompt and
+    the events then use the shared link, not the activations.
     """
     fleet = _place()
     for zone in ('zone-a', 'zone-b', 'zone-c'):
@@ -82,10 +82,10 @@
 
 
 def test_lost_replica_leaves_paths() -> None:
-    """Each replica of a fresh plan is lost in turn.
+    """Paths remain after the loss of any replica of a new plan.
 
-    Requests that come before any repair still find a path, over another
-    zone where their own has nobody else for those layers.
+    Requests that arrive before the repair use another zone if no other replica
+    of their own zone holds the lost layers.
     """
     fleet = _place()
     for lost in fleet:
@@ -97,9 +97,9 @@
 
 
 def test_versions_are_not_mixed() -> None:
-    """Half of the layers are held in the next version of the weights.
+    """A path does not mix versions of the weights.
 
-    A path over both would make tokens of neither.
+    If it did, its tokens would be those of neither version.
     """
     old = make_replica('old', 0, 40)
     new = dataclasses.replace(make_replica('new', 40, 80), version=2)
@@ -107,10 +107,10 @@
 
 
 def test_moved_stream_keeps_its_first_part() -> None:
-    """A replica in the middle of a path is lost.
+    """The path of a moved stream begins with exactly its former first stage.
 
-    The first replica goes on with the part that it has, so the new path must
-    begin with just that, though another replica would be faster.
+    The first replica continues with the part that it has when a later replica
+    is lost, even if another first replica would be faster.
     """
     head = make_replica('head', 0, 10, kind='l4')
     faster = make_replica('faster', 0, 40)
@@ -127,10 +127,10 @@
 
 
 def test_load_spreads_over_copies() -> None:
-    """Two replicas hold the same layers, and a surge comes.
+    """A surge spreads over two replicas that hold the same layers.
 
-    Nodes see their own requests only; sending all to the nominally faster
-    one would fill its memory while the other idles.
+    Nodes see their own requests only. If all of them sent to the nominally
+    faster replica, its memory would fill while the other one idles.
     """
     replicas = [make_replica('one', 0, 30), make_replica('two', 0, 30)]
     rest = make_replica('rest', 30, 60)
@@ -163,12 +163,11 @@
 
 
 def test_fast_copy_is_not_flooded() -> None:
-    """Sixty nodes send two requests a second each; one copy is fast.
+    """Sixty nodes that send two requests a second each use a slow copy as well.
 
-    A node has none or one request in progress, so the fast copy looked idle
-    to each of them: all sent all there, and callers waited a second on a
-    calm day while the slow copy idled. What a node has had lately tells it
-    what the others have.
+    Each node has at most one request in progress. By these alone the fast copy
+    looked idle: all nodes sent everything there, and clients waited a second
+    under normal load. The mean load of a node shows that of the others.
     """
     fast = [
         make_replica(f'fast-{first}', first, first + 20)
@@ -203,10 +202,10 @@
 
 
 def test_first_replica_keeps_free_slots() -> None:
-    """The fast first replica works on as many requests as it has slots for.
+    """A fast first replica with full slots is not chosen.
 
-    It refuses more, and each refused one comes back a second later. A slow
-    one with free slots answers at once.
+    It refuses further requests, and each of them returns a second later, while
+    a slow one with free slots answers at once.
     """
     fast = dataclasses.replace(make_replica('fast', 0, 20), slots=96)
     slow = dataclasses.replace(make_replica('slow', 0, 10), slots=96)
@@ -215,7 +214,7 @@
         make_replica(f'rest-{first}', first, first + 20)
         for first in (20, 40, 60)
     ]
-    # Requests that cost others nothing, so that only the slots tell.
+    # Requests that slow down no others, so that only the slots matter.
     profile = dataclasses.replace(USUAL, writer_ms=0)
     for taken, chosen in ((40, 'fast'), (96, 'slow')):
         load = LoadEstimate({'fast': taken}, {})
@@ -224,10 +223,10 @@
 
 
 def test_new_node_learns_of_the_others_at_once() -> None:
-    """Sixty nodes have just been started together, and clients come back.
+    """Nodes that start together account for each other's load at once.
 
-    With means that begin at nothing, each took the others to be idle for
-    three seconds and sent all to the fastest first replica.
+    With means that begin at zero, each of sixty nodes took the others to be
+    idle for three seconds and sent everything to the fastest first replica.
     """
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
     tracker = LoadBook()
@@ -246,10 +245,10 @@
 
 
 def test_few_of_many_zones_are_searched() -> None:
-    """A fleet of thirteen zones; its nodes spent most of their time on paths.
+    """Only some zones of a large fleet are searched for a path.
 
-    Each request was priced at every replica of every zone, though it mostly
-    stays in its own.
+    When each request was priced at all replicas of thirteen zones, nodes spent
+    most of their time on paths, though requests mostly stay in their own zone.
     """
     offered = _make_zones([f'zone-{number:02}' for number in range(13)])
     drawn: list[float] = []
@@ -260,12 +259,12 @@
 
     path = choose_path(offered, make_query(zone='zone-05', draw=draw))
     assert {stage.replica.zone for stage in path} == {'zone-05'}
-    # One draw a zone for their order, and one a replica that is priced.
+    # One sample per zone for their order, one per replica searched.
     assert len(drawn) == 13 + SEARCHED_ZONES * 4
 
 
 def test_overflow_of_a_zone_spreads_over_all() -> None:
-    """One zone is late; each request of it goes to another one's paths."""
+    """Requests of an overloaded zone spread over all other zones."""
     names = [f'zone-{number:02}' for number in range(8)]
     offered = _make_zones(names)
     late = {f'zone-00-{first}': 9.0 for first in (0, 20, 40, 60)}
@@ -280,7 +279,7 @@
 
 
 def test_only_zone_with_a_path_is_found() -> None:
-    """All other zones have lost a layer; whichever is drawn, none is lost."""
+    """The only zone with a path is found, whichever zones are sampled first."""
     offered = [
         one
         for one in _make_zones([f'zone-{number:02}' for number in range(8)])
--- a/tests/core/fleet/test_plan.py
+++ b/tests/core/fleet/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans hold the whole model in each zone, fit the memory, change little."""
+"""Plans hold all layers in each zone, fit the memory, and change little."""
 
 import dataclasses
 
@@ -40,10 +40,10 @@
 
 
 def test_each_zone_holds_a_copy_with_room() -> None:
-    """A first start: nobody holds anything.
+    """The first plan of an empty fleet holds all layers in each zone.
 
-    After the plan each zone has all layers, and the replica with the least
-    room still keeps thirty usual requests beside its layers.
+    The replica with the least headroom still has memory for thirty typical
+    requests beside its layers.
     """
     fleet = _apply(make_fleet())
     for zone in ('zone-a', 'zone-b', 'zone-c'):
@@ -56,18 +56,18 @@
 
 
 def test_whole_plan_changes_nothing() -> None:
-    """Loads have their price, so a fleet that holds all is let be."""
+    """A complete plan is not changed, since loads have a cost."""
     assert not plan_moves(_apply(make_fleet()), USUAL)
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.sets(st.integers(0, 37), max_size=6))
 def test_losses_are_repaired_within_memory(lost: set[int]) -> None:
-    """Up to six of 38 replicas are lost at once, anywhere.
+    """Any loss of up to six of 38 replicas is repaired within the memory.
 
-    A replica that is ordered to hold more than fits crashes; so a repair
-    that does not fit makes things worse. Where a zone keeps enough memory
-    it is whole again after at most four rounds.
+    A replica that is commanded to hold more than fits crashes, which makes the
+    loss worse. If the remaining memory suffices, the fleet holds all layers
+    again after at most four rounds.
     """
     placed = _apply(make_fleet())
     fleet = [one for number, one in enumerate(placed) if number not in lost]
@@ -80,9 +80,9 @@
 
 
 def test_empty_replica_takes_over() -> None:
-    """A replica is replaced: the new one comes empty, the old one leaves.
+    """An empty replica takes over the layers of a leaving one.
 
-    An empty one takes the layers; nobody that serves has to load anything.
+    No serving replica has to load anything.
     """
     fleet = _apply(make_fleet())
     old = next(one for one in fleet if one.name == 'zone-a-v100-3')
@@ -99,10 +99,7 @@
 
 
 def test_small_zones_are_planned_together() -> None:
-    """Two zones with half of the memory for a copy each.
-
-    Neither can hold the model alone; together they do.
-    """
+    """Two zones with memory for half a copy each hold one together."""
     fleet = [
         Replica(f'{zone}-{one}', 'model', f'{zone}-{one}:80', zone, 'a100')
         for zone in ('zone-a', 'zone-b')
@@ -112,7 +109,7 @@
 
 
 def test_neighbour_grows_over_a_narrow_gap() -> None:
-    """Two layers are lost and nobody is empty: a neighbour loads just two."""
+    """A neighbour loads just the two missing layers if no replica is empty."""
     fleet = [
         make_replica('one', 0, 20),
         make_replica('two', 22, 50),
@@ -124,10 +121,10 @@
 
 
 def test_spare_costs_no_small_pool_its_room() -> None:
-    """A zone has one large replica and eight smaller ones.
+    """A small zone keeps no spare replica, while larger zones do.
 
-    Left empty, one of them would cost the others two fifths of their room,
-    and callers wait on a calm day. Larger zones keep a spare.
+    One of its nine replicas left empty would take two fifths of the headroom,
+    and clients would wait under normal load.
     """
     kinds = ('a100', *['v100'] * 6, *['l4'] * 2)
     fleet = [
@@ -142,12 +139,12 @@
 
 
 def test_large_loss_moves_few_replicas() -> None:
-    """A zone's only large replica says that it leaves, with 22 layers.
+    """The loss of a zone's largest replica is repaired with few commands.
 
-    Callers of the zone wait until those are held again. Laid out anew, 13 of
-    14 replicas gave up what they held and waited for long answers to end:
-    the zone had no path for 11 s. Instead neighbours cover for one or two
-    replicas, which move into the gap with the spare; most are left alone.
+    With all layers assigned anew, 13 of 14 replicas gave up their layers and
+    waited for long answers to end, so the zone had no path for 11 s. Instead,
+    neighbours take over the layers of one or two replicas, which move into the
+    gap together with the spare.
     """
     fleet = _apply(make_fleet())
     remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
@@ -171,11 +168,11 @@
 
 
 def test_repair_keeps_room_in_every_replica() -> None:
-    """A zone's only large replica is lost and eleven layers go to the spare.
+    """A repair leaves each replica memory for forty requests, as before.
 
-    All requests of the zone pass through it, and it then has room for
-    fourteen, so callers waited a second for a first event. A repair spreads
-    the layers until each replica has room for forty, as it had before.
+    When a zone's only large replica was lost, eleven layers went to the spare,
+    which then had memory for fourteen requests. All requests of the zone pass
+    through it, so clients waited a second for the first event.
     """
     fleet = _apply(make_fleet())
     remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
@@ -187,11 +184,10 @@
 
 
 def test_large_zone_holds_several_copies() -> None:
-    """A zone has thirty-one replicas, with two and a half copies' memory.
+    """A large zone with memory for two and a half copies holds at least two.
 
-    With one copy over the fastest, two thirds of the replicas idled and the
-    requests of three small zones waited for the same passes. It holds a copy
-    on the fast ones and more on the others.
+    With one copy on the fastest replicas, two thirds of the replicas idled,
+    and the requests of three small zones waited for the same steps.
     """
     kinds = ('a100', *['v100'] * 24, *['l4'] * 9, 'a100')
     fleet = [
--- a/tests/core/fleet/test_returns.py
+++ b/tests/core/fleet/test_returns.py
@@ -1,7 +1,7 @@
-"""When refused clients come back.
+"""Refused clients retry at different times.
 
-The pattern: sixty clients are refused within a second, and places come free
-at ten a second. Told the same time, all of them are refused again.
+Sixty clients are refused within a second, while ten places per second become
+free. If all retried at the same time, they would be refused again.
 """
 
 import itertools
@@ -18,7 +18,7 @@
 
 
 def test_turns_come_at_the_pace_of_places() -> None:
-    """Each one refused comes later than those before, while it can wait."""
+    """Each refused client retries later than those refused before it."""
     plan = _make_plan(10)
     turns = [plan.give_turn(6, 60, 0.5) for _ in range(30)]
     gaps = [later - one for one, later in itertools.pairwise(turns)]
@@ -27,7 +27,7 @@
 
 
 def test_nobody_waits_longer_than_it_would() -> None:
-    """Beyond a third of what is left clients come back by themselves."""
+    """No delay exceeds a third of the time left; the later ones are spread."""
     plan = _make_plan(10)
     rng = random.Random(1)
     turns = [plan.give_turn(6, 18, rng.random()) for _ in range(300)]
@@ -38,7 +38,7 @@
 
 
 def test_turns_begin_anew_after_a_surge() -> None:
-    """The first one refused an hour later has no queue before it."""
+    """A client refused an hour after a surge gets a short delay."""
     plan = _make_plan(10)
     for _ in range(100):
         plan.give_turn(6, 18, 0.5)
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -1,7 +1,7 @@
-"""Where work goes as all nodes start at once.
+"""Distribution of requests when all nodes start at once.
 
-The load is everything that waited for them, within a fifth of a second, while
-none of them knows what the others send.
+All clients that waited for the nodes send within a fifth of a second, while no
+node knows the load of the others.
 """
 
 import random
@@ -14,7 +14,7 @@
 _NODES = 60
 _REQUESTS_PER_NODE = 5
 _MAX_RATIO = 0.5
-"""The fastest replica has 0.42 of the pace of all."""
+"""Upper bound of the fastest replica's requests; it has 0.42 of all speed."""
 
 _LAYERS = 6
 _TOLERANCE = 0.01
@@ -27,7 +27,7 @@
 
 
 def _spread(*, use_uncertainty: bool) -> Counter[str]:
-    """Send what waited, and count it by first replica."""
+    """Send the waiting requests and count them by first replica."""
     sent: Counter[str] = Counter()
     for node in range(_NODES):
         tracker = LoadBook()
@@ -45,7 +45,7 @@
 
 
 def test_what_waited_is_spread_over_all() -> None:
-    """The fastest replica gets most, but no more than its pace allows."""
+    """The fastest replica gets the most, but no more than its speed allows."""
     sent = _spread(use_uncertainty=True)
     assert len(sent) == len(_KINDS)
     assert sent.most_common(1)[0][0] == 'r-0'
@@ -53,13 +53,13 @@
 
 
 def test_nodes_that_know_nothing_crowd_one() -> None:
-    """Going by what they know, all of them choose the same few."""
+    """Without uncertainty, all nodes choose the same few replicas."""
     sent = _spread(use_uncertainty=False)
     assert sent['r-0'] > _NODES * _REQUESTS_PER_NODE * _MAX_RATIO
 
 
 def test_doubt_passes() -> None:
-    """A node that has run for a while goes by what it knows."""
+    """The uncertainty of a node vanishes after a while."""
     tracker = LoadBook()
     tracker.share_among(_NODES)
     assert tracker.estimate(10).uncertainty > 1 - _TOLERANCE
--- a/tests/core/fleet/test_step_factors.py
+++ b/tests/core/fleet/test_step_factors.py
@@ -1,7 +1,7 @@
-"""Paths keep away from replicas that turn slow.
+"""Paths avoid replicas that become slow.
 
-The load is a few replicas that take twelve times as long for some seconds;
-every path through one of them is held up, though its first replica is sound.
+A few replicas take twelve times as long for some seconds. This delays every
+path through one of them, though its first replica works normally.
 """
 
 from core_fleet import make_query, make_replica
@@ -24,13 +24,13 @@
 
 
 def test_slow_part_of_a_path_is_avoided() -> None:
-    """Where another replica holds the same layers, it runs them."""
+    """Another replica that holds the same layers runs them instead."""
     tails = {_find_tail({'tail-1': _SLOW}, seed) for seed in range(40)}
     assert tails == {'tail-2'}
 
 
 def test_slow_part_is_chosen_where_nobody_knows() -> None:
-    """Going by load alone, half of the paths lead through it."""
+    """By load alone, half of the paths lead through the slow replica."""
     assert {_find_tail({}, seed) for seed in range(40)} == {'tail-1', 'tail-2'}
 
 
@@ -43,7 +43,7 @@
 
 
 def test_slow_replica_is_trusted_again() -> None:
-    """It says so itself, or nothing is heard of it for a while."""
+    """A replica is no longer slow once it reports so, or its report expires."""
     tracker = PaceBook()
     assert tracker.note('a', _SLOW, 0)
     assert not tracker.note('a', _SLOW, 1)
@@ -55,7 +55,7 @@
 
 
 def test_nonsense_of_a_pace_is_bounded() -> None:
-    """No word of a replica makes it faster, or its paths endless."""
+    """No reported factor speeds a replica up, or makes its cost infinite."""
     tracker = PaceBook()
     assert not tracker.note('a', -1, 0)
     assert not tracker.note('a', 0, 0)
--- a/tests/core/fleet/test_window.py
+++ b/tests/core/fleet/test_window.py
@@ -1,10 +1,9 @@
-"""More requests than the engines can serve, decided by what each node sees.
+"""Concurrency windows under overload, with each node's local view only.
 
-The pattern: several nodes send to one first replica with so many slots, which
-queues half as many more and refuses the rest. Clients come unevenly, four
-times as many as there are places for; a usual answer takes three seconds. The
-figures are those of a played day on which first events came after 1.3 s and
-nearly none in time.
+Several nodes send to one first replica, which queues half as many requests as
+it has slots and refuses the rest. Clients arrive unevenly, four times as many
+as there are slots for, and a typical answer takes three seconds. Without
+windows, first events came after 1.3 s, and nearly none of them in time.
 """
 
 import heapq
@@ -29,7 +28,7 @@
 
 @dataclass
 class FirstReplica:
-    """A first replica that starts requests in the order in which they come."""
+    """A first replica that starts requests in their order of arrival."""
 
     slots: int = SLOTS
     busy: int = 0
@@ -38,10 +37,10 @@
 
 @dataclass
 class Result:
-    """What became of the requests.
+    """Counts of the requests of a simulation.
 
     :param in_time: first events within the objective, by second.
-    :param max_requests: requests at the first replica, at most, by second.
+    :param max_requests: most requests at the first replica, by second.
     """
 
     in_time: Counter[int] = field(default_factory=Counter)
@@ -54,7 +53,7 @@
     shares: tuple[int, ...],
     rng: random.Random,
 ) -> list[tuple[float, int]]:
-    """List arrivals and their nodes; one rate a second."""
+    """List arrivals with their nodes; each rate applies for a second."""
     found: list[tuple[float, int]] = []
     for second, rate in enumerate(rates):
         at = second + rng.expovariate(rate)
@@ -71,7 +70,7 @@
     shares: tuple[int, ...] = CLIENT_SHARES,
     seed: int = 1,
 ) -> Result:
-    """Play arrivals against one first replica."""
+    """Simulate arrivals at one first replica."""
     rng = random.Random(seed)
     nodes = [Windows(rng.random) for _ in shares]
     first_replica, result = FirstReplica(), Result()
@@ -116,13 +115,13 @@
 
 
 def test_usual_load_is_not_limited() -> None:
-    """Half of what fits comes; nobody is refused."""
+    """No request is refused at half of the capacity."""
     assert _simulate([CAPACITY / 2] * 30).refused == 0
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_surge_keeps_what_the_engines_can_do(seed: int) -> None:
-    """Four times as many come as there are places for, for 14 seconds.
+    """Most of the capacity stays in use in time at four times the capacity.
 
     Without windows the queue is never empty and every first event is late.
     """
@@ -138,7 +137,7 @@
 
 
 def test_window_settles_after_a_surge_begins() -> None:
-    """The queue is short a few seconds into a surge, and stays so."""
+    """The queue is short a few seconds into a surge, and stays short."""
     result = _simulate([CAPACITY / 2] * 6 + [CAPACITY * 3] * 24)
     assert (
         max(result.max_requests[second] for second in range(10, 30))
@@ -147,7 +146,7 @@
 
 
 def test_window_opens_after_a_surge() -> None:
-    """What fits is served again in full when a surge is over."""
+    """Requests below the capacity are served in full again after a surge."""
     rates = [CAPACITY * 4] * 10 + [CAPACITY * 0.8] * 20
     result = _simulate(rates)
     served = sum(result.in_time[second] for second in range(18, 30))
@@ -155,7 +154,10 @@
 
 
 def test_more_nodes_than_slots() -> None:
-    """Two hundred nodes share the slots; one request of each is too many."""
+    """Windows work with two hundred nodes and fewer slots.
+
+    One request of each node would be too many.
+    """
     result = _simulate(
         [CAPACITY / 2] * 6 + [CAPACITY * 4] * 30, shares=tuple([1] * 200)
     )
@@ -164,7 +166,7 @@
 
 
 def test_late_requests_leave_room_for_others() -> None:
-    """A window is nearly full; those who come for the first time go first."""
+    """New requests have priority over retried ones in a nearly full window."""
     windows = Windows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
@@ -178,7 +180,7 @@
 
 
 def test_requests_sent_together_shrink_once() -> None:
-    """Ten requests that were sent before the window shrank are late too."""
+    """Late requests from before a window shrank don't shrink it again."""
     windows = Windows(random.Random(1).random)
     for _ in range(20):
         windows.add('head')
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -1,4 +1,4 @@
-"""A model and a fleet of the usual kinds, for tests of the decisions."""
+"""A typical model and fleet for tests of placement and path choice."""
 
 import random
 
@@ -61,7 +61,7 @@
 
 
 def make_query(seed: int = 1, **changes: object) -> PathQuery:
-    """Ask for a path for a usual request."""
+    """Make the query of a path for a typical request."""
     rng = random.Random(seed)
     fields: dict[str, object] = {
         'profile': USUAL,
@@ -75,7 +75,7 @@
 
 
 def runs_each_layer_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
-    """Whether a path runs each layer once and in order."""
+    """Return whether a path runs each layer once and in order."""
     run = [
         layer
         for stage in path
