--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -40,7 +40,7 @@
 _MIN_MATURITY = 0.05
 """Lower bound of the fraction of its final value that a mean has reached.
 
-With a lower bound, one request of a node would count as hundreds.
+With a smaller value, one request of a node would count as hundreds.
 """
 
 _LATEST_WEIGHT = 0.3
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -53,7 +53,7 @@
 """
 
 _MIN_SPARE_BENEFIT = 0.1
-"""Fraction of the cost that a step with one of the last empty replicas saves.
+"""Fraction of the cost that a step with a last empty replica must save.
 
 These are kept for later losses. If neighbours have closed a gap, or a replica
 has restarted without layers, such a step saves 15 in 100 and more.
--- a/tests/core/fleet/test_accounts.py
+++ b/tests/core/fleet/test_accounts.py
@@ -84,7 +84,9 @@
     tracker = AccountBook()
     for number, _ in itertools.product(range(busy), range(5)):
         tracker.add(f'account-{number}')
-    assert not any(tracker.is_heavy(f'account-{one}') for one in range(busy))
+    assert not any(
+        tracker.is_heavy(f'account-{index}') for index in range(busy)
+    )
 
 
 def test_few_requests_are_not_heavy() -> None:
--- a/tests/core/fleet/test_durations.py
+++ b/tests/core/fleet/test_durations.py
@@ -30,7 +30,7 @@
 
 
 def _choose(tracker: DurationBook, sent: Counter[str], now: float) -> str:
-    return min(_NAMES, key=lambda one: (tracker.rank(one, now), sent[one]))
+    return min(_NAMES, key=lambda name: (tracker.rank(name, now), sent[name]))
 
 
 def test_replica_that_hung_once_is_tried_again() -> None:
--- a/tests/core/fleet/test_first_replicas.py
+++ b/tests/core/fleet/test_first_replicas.py
@@ -23,7 +23,9 @@
 
     If it crashed too, the zone would have no paths.
     """
-    remaining = [one for one in _FIRST_REPLICAS if one.name != 'zone-b-0']
+    remaining = [
+        replica for replica in _FIRST_REPLICAS if replica.name != 'zone-b-0'
+    ]
     for digest in _DIGESTS:
         assert rank_heads(digest, remaining)[-1].name == 'zone-b-1'
 
@@ -38,7 +40,7 @@
 def test_those_that_lost_one_replica_part() -> None:
     """Requests that lose a replica together part at the next one."""
     counts = Counter(
-        rank_heads(one, _FIRST_REPLICAS)[0].name for one in _DIGESTS
+        rank_heads(digest, _FIRST_REPLICAS)[0].name for digest in _DIGESTS
     )
     assert len(counts) == len(_FIRST_REPLICAS)
     assert max(counts.values()) <= len(_DIGESTS) / 2
@@ -47,8 +49,8 @@
 def test_order_of_one_tells_nothing_of_another() -> None:
     """Orders differ between requests, though names and digests are similar."""
     orders = {
-        tuple(head.name for head in rank_heads(one, _FIRST_REPLICAS))
-        for one in _DIGESTS
+        tuple(head.name for head in rank_heads(digest, _FIRST_REPLICAS))
+        for digest in _DIGESTS
     }
     assert len(orders) > len(_DIGESTS) * 0.8
 
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -251,16 +251,16 @@
     most of their time on paths, though requests mostly stay in their own zone.
     """
     offered = _make_zones([f'zone-{number:02}' for number in range(13)])
-    drawn: list[float] = []
+    samples: list[float] = []
 
     def draw() -> float:
-        drawn.append(0.5)
-        return drawn[-1]
+        samples.append(0.5)
+        return samples[-1]
 
     path = choose_path(offered, make_query(zone='zone-05', draw=draw))
     assert {stage.replica.zone for stage in path} == {'zone-05'}
     # One sample per zone for their order, one per replica searched.
-    assert len(drawn) == 13 + SEARCHED_ZONES * 4
+    assert len(samples) == 13 + SEARCHED_ZONES * 4
 
 
 def test_overflow_of_a_zone_spreads_over_all() -> None:
@@ -281,9 +281,9 @@
 def test_only_zone_with_a_path_is_found() -> None:
     """The only zone with a path is found, whichever zones are sampled first."""
     offered = [
-        one
-        for one in _make_zones([f'zone-{number:02}' for number in range(8)])
-        if one.zone == 'zone-07' or one.layers.first != 40
+        replica
+        for replica in _make_zones([f'zone-{number:02}' for number in range(8)])
+        if replica.zone == 'zone-07' or replica.layers.first != 40
     ]
     for seed in range(20):
         path = choose_path(offered, make_query(seed, zone='zone-00'))
--- a/tests/core/fleet/test_plan.py
+++ b/tests/core/fleet/test_plan.py
@@ -20,22 +20,24 @@
         for move in plan_moves(fleet, USUAL, thorough=True)
     }
     return [
-        dataclasses.replace(one, layers=moves[one.name].layers)
-        if one.name in moves
-        else one
-        for one in fleet
+        dataclasses.replace(replica, layers=moves[replica.name].layers)
+        if replica.name in moves
+        else replica
+        for replica in fleet
     ]
 
 
 def _find_gaps(held: list[LayerRange]) -> set[int]:
     return set(range(80)) - {
-        layer for one in held for layer in range(one.first, one.end)
+        layer for layers in held for layer in range(layers.first, layers.end)
     }
 
 
 def _list_held(fleet: list[Replica], zone: str = '') -> list[LayerRange]:
     return [
-        one.layers for one in fleet if one.layers and zone in {'', one.zone}
+        replica.layers
+        for replica in fleet
+        if replica.layers and zone in {'', replica.zone}
     ]
 
 
@@ -51,8 +53,8 @@
     for replica in fleet:
         if replica.layers:
             kind = USUAL.accelerators[replica.accelerator]
-            room = estimate_capacity(USUAL, kind, replica.layers)
-            assert room >= 30 * 991
+            capacity = estimate_capacity(USUAL, kind, replica.layers)
+            assert capacity >= 30 * 991
 
 
 def test_whole_plan_changes_nothing() -> None:
@@ -70,7 +72,9 @@
     again after at most four rounds.
     """
     placed = _apply(make_fleet())
-    fleet = [one for number, one in enumerate(placed) if number not in lost]
+    fleet = [
+        replica for number, replica in enumerate(placed) if number not in lost
+    ]
     for _ in range(4):
         for move in plan_moves(fleet, USUAL):
             kind = USUAL.accelerators[move.replica.accelerator]
@@ -85,11 +89,13 @@
     No serving replica has to load anything.
     """
     fleet = _apply(make_fleet())
-    old = next(one for one in fleet if one.name == 'zone-a-v100-3')
+    old = next(replica for replica in fleet if replica.name == 'zone-a-v100-3')
     new = dataclasses.replace(old, name='new', layers=None)
     remaining = [
-        dataclasses.replace(one, leaving=True) if one is old else one
-        for one in fleet
+        dataclasses.replace(replica, leaving=True)
+        if replica is old
+        else replica
+        for replica in fleet
     ]
     moves = plan_moves([*remaining, new], USUAL)
     assert len(moves) == 1
@@ -101,9 +107,11 @@
 def test_small_zones_are_planned_together() -> None:
     """Two zones with memory for half a copy each hold one together."""
     fleet = [
-        Replica(f'{zone}-{one}', 'model', f'{zone}-{one}:80', zone, 'a100')
+        Replica(
+            f'{zone}-{number}', 'model', f'{zone}-{number}:80', zone, 'a100'
+        )
         for zone in ('zone-a', 'zone-b')
-        for one in range(2)
+        for number in range(2)
     ]
     assert not _find_gaps(_list_held(_apply(fleet)))
 
@@ -132,10 +140,14 @@
         for number, kind in enumerate(kinds)
     ]
     placed = _apply(fleet)
-    assert all(one.layers for one in placed)
+    assert all(replica.layers for replica in placed)
     large = _apply(make_fleet())
-    spares = [one for one in large if one.layers is None]
-    assert {one.zone for one in spares} == {'zone-a', 'zone-b', 'zone-c'}
+    spares = [replica for replica in large if replica.layers is None]
+    assert {replica.zone for replica in spares} == {
+        'zone-a',
+        'zone-b',
+        'zone-c',
+    }
 
 
 def test_large_loss_moves_few_replicas() -> None:
@@ -147,22 +159,24 @@
     gap together with the spare.
     """
     fleet = _apply(make_fleet())
-    remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
-    zone = [one for one in remaining if one.zone == 'zone-a']
+    remaining = [
+        replica for replica in fleet if replica.name != 'zone-a-a100-0'
+    ]
+    zone = [replica for replica in remaining if replica.zone == 'zone-a']
     lost = _find_gaps(_list_held(zone))
     assert len(lost) >= 20
     moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
     held = [
-        moves[one.name].layers if one.name in moves else one.layers
-        for one in zone
+        moves[replica.name].layers if replica.name in moves else replica.layers
+        for replica in zone
     ]
     assert not _find_gaps([layers for layers in held if layers])
     assert len(moves) <= 8
     loaded = sum(len(move.layers) for move in moves.values())
     kept = sum(
-        len(one.layers)
-        for one in zone
-        if one.name in moves and one.layers is not None
+        len(replica.layers)
+        for replica in zone
+        if replica.name in moves and replica.layers is not None
     )
     assert loaded - kept <= 2 * len(lost)
 
@@ -175,12 +189,14 @@
     through it, so clients waited a second for the first event.
     """
     fleet = _apply(make_fleet())
-    remaining = [one for one in fleet if one.name != 'zone-a-a100-0']
+    remaining = [
+        replica for replica in fleet if replica.name != 'zone-a-a100-0'
+    ]
     moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
     for move in moves.values():
         kind = USUAL.accelerators[move.replica.accelerator]
-        room = estimate_capacity(USUAL, kind, move.layers)
-        assert room >= 40 * 991
+        capacity = estimate_capacity(USUAL, kind, move.layers)
+        assert capacity >= 40 * 991
 
 
 def test_large_zone_holds_several_copies() -> None:
@@ -196,7 +212,7 @@
     ]
     placed = _apply(fleet)
     copies = [
-        sum(one.first <= layer < one.end for one in _list_held(placed))
+        sum(layers.first <= layer < layers.end for layers in _list_held(placed))
         for layer in range(80)
     ]
     assert min(copies) >= 2
--- a/tests/core/fleet/test_returns.py
+++ b/tests/core/fleet/test_returns.py
@@ -21,7 +21,7 @@
     """Each refused client retries later than those refused before it."""
     plan = _make_plan(10)
     turns = [plan.give_turn(6, 60, 0.5) for _ in range(30)]
-    gaps = [later - one for one, later in itertools.pairwise(turns)]
+    gaps = [later - earlier for earlier, later in itertools.pairwise(turns)]
     assert min(gaps) * 4 > 1
     assert max(gaps) * 5 < 3
 
--- a/tests/core/fleet/test_step_factors.py
+++ b/tests/core/fleet/test_step_factors.py
@@ -38,7 +38,7 @@
     """A slow path is better than none."""
     query = make_query(paces={'last': _SLOW})
     assert any(
-        one.replica.name == 'last' for one in choose_path(_REPLICAS, query)
+        stage.replica.name == 'last' for stage in choose_path(_REPLICAS, query)
     )
 
 
