--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
@@ -178,8 +178,8 @@
 ) -> _PartialPath | None:
     """Find the cheapest way through all layers."""
     layers = query.profile.layers
-    head = query.head
-    fixed = {head.layers.end} if head else set()
+    first_stage = query.head
+    fixed = {first_stage.layers.end} if first_stage else set()
     boundaries = sorted(
         {0, layers}
         | fixed
@@ -199,7 +199,7 @@
             for replica in usable
             if replica.layers is not None
             and replica.layers.covers(part)
-            and _fits_first_stage(replica, part, head)
+            and _fits_first_stage(replica, part, first_stage)
         ]
         partials = [
             partial
@@ -216,16 +216,16 @@
 
 
 def _fits_first_stage(
-    replica: Replica, part: LayerRange, head: Stage | None
+    replica: Replica, part: LayerRange, first_stage: Stage | None
 ) -> bool:
     """Return whether a replica may run a part when the first stage is given.
 
     The first replica of a stream keeps its own part when the stream is moved.
     """
-    if head is None:
+    if first_stage is None:
         return True
-    is_first = replica.name == head.replica.name
-    return is_first == (part.end <= head.layers.end)
+    is_first = replica.name == first_stage.replica.name
+    return is_first == (part.end <= first_stage.layers.end)
 
 
 def _extend(
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -56,4 +56,4 @@
     """Estimate the duration of the prefill of a prompt, in seconds."""
     fraction = layers / profile.layers
     total = tokens / profile.read_per_ms
-    return total * accelerator.read_factor * fraction / _MS
+    return total * accelerator.prefill_factor * fraction / _MS
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -71,12 +71,12 @@
 
     :param memory_mb: for layers and KV caches together.
     :param step_factor: factor of the duration of decode steps.
-    :param read_factor: factor of the duration of prefill.
+    :param prefill_factor: factor of the duration of prefill.
     """
 
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -92,12 +92,12 @@
 class Windows:
     """Concurrency windows of one node, by name of the first replica.
 
-    :param draw: returns random numbers from 0 to 1.
+    :param sample: returns random numbers from 0 to 1.
     """
 
-    def __init__(self, draw: Callable[[], float]) -> None:
+    def __init__(self, sample: Callable[[], float]) -> None:
         self.requests: Counter[str] = Counter()
-        self._draw = draw
+        self._sample = sample
         self._windows: dict[str, _Window] = {}
 
     def add(self, name: str) -> None:
@@ -160,7 +160,7 @@
     def _is_closed(self, name: str, limit: float) -> bool:
         if self.requests[name] >= max(1, limit):
             return True
-        return limit < 1 and self._draw() > limit
+        return limit < 1 and self._sample() > limit
 
     def _shrink(self, name: str, fraction: float, now: float) -> None:
         window = self._windows.setdefault(name, _Window(math.inf, now))
