--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -83,8 +83,8 @@
     """Plan the commands that complete and improve the copies of each zone.
 
     :param replicas: all replicas of the service that are alive.
-    :param thorough: whether all layers of a pool may be assigned anew if no
-        single steps can close its gaps.
+    :param thorough: whether to assign all layers of a pool anew if single
+        steps can't close its gaps.
     :returns: the commands; empty if no step has enough benefit.
     """
     return tuple(
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -79,7 +79,7 @@
     :param paces: step-time factors that slow replicas have reported.
     :param closed: names of replicas where no path may begin.
     :param head: the stage that must come first, if any.
-    :param kept: names of replicas that have done the prefill of the request.
+    :param kept: names of replicas that have done the prefill already.
     :param crosses: whether the path may change zones in its middle.
     """
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -89,8 +89,7 @@
     :param cache_mb: KV cache of one token in one layer.
     :param step_ms: duration of one decode step, whatever the batch.
     :param writer_ms: added to a step for each request that is decoded.
-    :param read_per_ms: tokens of prompts processed in a millisecond of
-        prefill.
+    :param read_per_ms: prompt tokens per millisecond of prefill.
     :param load_seconds: to load all layers.
     :param usual_prompt: mean tokens of a prompt.
     :param usual_answer: mean tokens of an answer.
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -92,7 +92,7 @@
 class Windows:
     """Concurrency windows of one node, by name of the first replica.
 
-    :param sample: returns random numbers from 0 to 1.
+    :param draw: returns random numbers from 0 to 1.
     """
 
     def __init__(self, sample: Callable[[], float]) -> None:
