--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -3,7 +3,7 @@
 from ryelatch_core.fleet._accounts import AccountBook
 from ryelatch_core.fleet._durations import DurationBook
 from ryelatch_core.fleet._failures import FailureBook
-from ryelatch_core.fleet._first_replicas import rank_heads
+from ryelatch_core.fleet._heads import rank_heads
 from ryelatch_core.fleet._load import NO_LOAD, LoadBook, LoadEstimate
 from ryelatch_core.fleet._path import choose_path
 from ryelatch_core.fleet._performance import (
