--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -16,7 +16,11 @@
 from ryelatch_core.fleet._zones import MIN_HEADROOM
 
 _MAX_HEADROOM = 200
-"""Largest headroom that is tried; a replica has at most 192 slots."""
+"""Largest headroom that is tried.
+
+The headroom of a replica is the number of typical requests whose KV caches fit
+beside its weights. A replica has at most 192 slots.
+"""
 
 _HEADROOMS = range(_MAX_HEADROOM, MIN_HEADROOM - 1, -4)
 """Headrooms that are tried for the replicas of a copy, largest first."""
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -6,10 +6,12 @@
 small for a copy are planned together.
 
 Weights and KV caches share the memory of a replica, and the memory left for
-caches limits the requests in progress. The cost of a plan is lower the more
-tokens fit at each layer; a layer that no replica holds outweighs all else.
-Starting from the current plan, the step with the largest benefit is taken
-repeatedly, as long as the benefit justifies a load of weights.
+caches limits the requests in progress. The headroom of a replica is the number
+of typical requests whose KV caches fit beside its weights. The cost of a plan
+is lower the more tokens fit at each layer; a layer that no replica holds
+outweighs all else. Starting from the current plan, the step with the largest
+benefit is taken repeatedly, as long as the benefit justifies a load of
+weights.
 """
 
 import itertools
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -5,8 +5,8 @@
 queued ones wait for seconds, their clients leave, and the work done for them
 is lost. A node sees its own requests only, and clients arrive unevenly, so a
 fixed share of the slots for each node does not work. The time to the first
-event shows each node how full a first replica is, whoever fills it: it is 0.05
-s if there is a free slot, and a second if there is none.
+event shows each node how full a first replica is, whoever fills it: it takes a
+second without a free slot, and 0.05 s with one.
 
 Each node therefore has a concurrency window for each first replica, similar to
 congestion control of senders on a shared link. It grows while the requests
@@ -17,7 +17,7 @@
 On simulated days, windows together with retry delays raise the benefit score
 from 0.10 to 0.36 at four times the usual traffic, from 0.44 to 0.69 at twice
 and three times, and from 0.44 to 0.67 when a surge coincides with the loss of
-replicas. On days of usual traffic the score changes within its spread.
+replicas. On standard days the difference is within the spread.
 """
 
 import math
@@ -26,13 +26,16 @@
 from dataclasses import dataclass
 
 LATE_SHRINK_FACTOR = 0.85
-"""Factor of the requests in progress to which a late first event shrinks.
+"""Fraction of its requests to which a window shrinks if one is late.
 
 Queues are still short then: the wait took less than half of the objective.
 """
 
 REFUSAL_SHRINK_FACTOR = 0.7
-"""Factor of the requests in progress after a refusal due to a full queue."""
+"""Fraction of its requests to which a window shrinks if one is refused.
+
+A first replica refuses requests when its queue is full.
+"""
 
 LEAST_WINDOW = 0.1
 """Lower bound of a window; below 1 it is the probability of admission.
@@ -92,7 +95,7 @@
 class Windows:
     """Concurrency windows of one node, by name of the first replica.
 
-    :param draw: returns random numbers from 0 to 1.
+    :param sample: returns random numbers from 0 to 1.
     """
 
     def __init__(self, sample: Callable[[], float]) -> None:
