--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import CostBook, LineLog, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
@@ -86,7 +86,7 @@
     replicas: ReplicaView
     orders: Orders
     lease: LeaseKeeper
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     _planned: _State | None = None
     _seen: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
@@ -141,7 +141,7 @@
     async def _tend(self) -> None:
         await self._book.review_late()
         now = self.clock.monotonic()
-        with self.costs.spend('look for gaps'):
+        with self.costs.measure_time('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
         self._timing.note_need(now, needed=needed)
@@ -150,7 +150,7 @@
         need_since = self._date_need(state)
         if not await self._take_turn(state, now, need_since):
             return
-        with self.costs.spend('plan'):
+        with self.costs.measure_time('plan'):
             moves = self._plan(state, now)
         # Where a plan orders nothing it stays as it is until something
         # changes. Made anew at each tick, plans took more than half of a
@@ -252,12 +252,12 @@
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
         lease=LeaseKeeper(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            spread=app.chance.uniform(0, TAKE_SPREAD_SECONDS),
+            spread=app.random_source.uniform(0, TAKE_SPREAD_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
