--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -1,4 +1,4 @@
-"""Predicts memory and times of replicas from the model's profile."""
+"""Predicts memory use and step times of replicas from the model's profile."""
 
 from ryelatch_core.fleet._types import Accelerator, LayerRange, ModelProfile
 
@@ -10,12 +10,12 @@
     accelerator: Accelerator,
     requests: float,
 ) -> int:
-    """Count the layers that leave room for a number of usual requests.
+    """Count the layers that leave headroom for a number of typical requests.
 
-    Weights and caches share the memory: a replica with one layer less holds
+    Weights and KV caches share the memory. A replica with one layer less holds
     more requests, but a copy of the model then takes more replicas.
 
-    :param requests: usual requests in progress at once.
+    :param requests: typical requests in progress at once.
     """
     tokens = profile.usual_prompt + profile.usual_answer
     per_layer = profile.layer_mb + requests * tokens * profile.cache_mb
@@ -27,7 +27,7 @@
     accelerator: Accelerator,
     layers: LayerRange,
 ) -> float:
-    """Estimate the tokens whose caches fit beside a range of layers."""
+    """Estimate the tokens whose KV caches fit beside a range of layers."""
     free = accelerator.memory_mb - len(layers) * profile.layer_mb
     return max(0, free / (len(layers) * profile.cache_mb))
 
@@ -36,24 +36,24 @@
     profile: ModelProfile,
     accelerator: Accelerator,
     layers: int,
-    writers: float,
+    sequences: float,
 ) -> float:
-    """Estimate the seconds of one token step over some layers.
+    """Estimate the duration of one decode step over some layers, in seconds.
 
-    :param writers: requests that the replica writes for at once.
+    :param sequences: number of requests that are decoded together.
     """
-    whole = profile.step_ms + writers * profile.writer_ms
-    share = layers / profile.layers
-    return whole * accelerator.step_factor * share / _MS
+    total = profile.step_ms + sequences * profile.writer_ms
+    fraction = layers / profile.layers
+    return total * accelerator.step_factor * fraction / _MS
 
 
-def estimate_reading(
+def estimate_prefill(
     profile: ModelProfile,
     accelerator: Accelerator,
     layers: int,
     tokens: float,
 ) -> float:
-    """Estimate the seconds of reading a prompt through some layers."""
-    share = layers / profile.layers
-    whole = tokens / profile.read_per_ms
-    return whole * accelerator.read_factor * share / _MS
+    """Estimate the duration of the prefill of a prompt, in seconds."""
+    fraction = layers / profile.layers
+    total = tokens / profile.read_per_ms
+    return total * accelerator.prefill_factor * fraction / _MS
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -1,4 +1,4 @@
-"""Paths run every layer once, stay in their zone, and spread."""
+"""Paths run every layer once, stay in their zone, and spread the load."""
 
 import dataclasses
 import random
@@ -12,7 +12,7 @@
     make_fleet,
     make_query,
     make_replica,
-    runs_once,
+    runs_each_layer_once,
 )
 from ryelatch_core.fleet import (
     LayerRange,
@@ -48,17 +48,17 @@
 def test_each_layer_once_or_no_path(
     held: list[tuple[int, int, str, str]], seed: int
 ) -> None:
-    """Replicas hold any ranges, with overlaps and gaps.
+    """A path is correct or empty for any ranges, with overlaps and gaps.
 
-    Upstreams check neither gaps nor overlaps: a wrong path makes wrong
-    tokens, and nobody sees it. A path is either right or not given at all.
+    Upstreams check neither, so a wrong path would produce wrong tokens that
+    nobody notices.
     """
     replicas = [
         make_replica(f'r-{number}', first, min(80, first + size), zone, kind)
         for number, (first, size, zone, kind) in enumerate(held)
     ]
     path = choose_path(replicas, make_query(seed, prompt=1, answer=1))
-    assert not path or runs_once(path)
+    assert not path or runs_each_layer_once(path)
     covered = {
         layer
         for replica in replicas
@@ -69,37 +69,37 @@
 
 
 def test_paths_stay_in_one_zone() -> None:
-    """All zones hold a copy; a request need not cross the shared pipe.
+    """Paths stay within one zone if all zones hold a copy.
 
-    Which zone it is may be another than its client's: only the text of the
-    prompt and the events cross then, not the activations.
+    It may be another zone than the client's: only the text of the prompt and
+    the events then use the shared link, not the activations.
     """
     fleet = _place()
     for zone in ('zone-a', 'zone-b', 'zone-c'):
         path = choose_path(fleet, make_query(zone=zone))
-        assert runs_once(path)
+        assert runs_each_layer_once(path)
         assert len({stage.replica.zone for stage in path}) == 1
 
 
 def test_lost_replica_leaves_paths() -> None:
-    """Each replica of a fresh plan is lost in turn.
+    """Paths remain after the loss of any replica of a new plan.
 
-    Requests that come before any repair still find a path, over another
-    zone where their own has nobody else for those layers.
+    Requests that arrive before the repair use another zone if no other replica
+    of their own zone holds the lost layers.
     """
     fleet = _place()
     for lost in fleet:
         for zone in ('zone-a', 'zone-b', 'zone-c'):
             query = make_query(zone=zone, avoid=frozenset((lost.name,)))
             path = choose_path(fleet, query)
-            assert runs_once(path)
+            assert runs_each_layer_once(path)
             assert lost.name not in {stage.replica.name for stage in path}
 
 
 def test_versions_are_not_mixed() -> None:
-    """Half of the layers are held in the next version of the weights.
+    """A path does not mix versions of the weights.
 
-    A path over both would make tokens of neither.
+    If it did, its tokens would be those of neither version.
     """
     old = make_replica('old', 0, 40)
     new = dataclasses.replace(make_replica('new', 40, 80), version=2)
@@ -107,10 +107,10 @@
 
 
 def test_moved_stream_keeps_its_first_part() -> None:
-    """A replica in the middle of a path is lost.
+    """The path of a moved stream begins with exactly its former first stage.
 
-    The first replica goes on with the part that it has, so the new path must
-    begin with just that, though another replica would be faster.
+    The first replica continues with the part that it has when a later replica
+    is lost, even if another first replica would be faster.
     """
     head = make_replica('head', 0, 10, kind='l4')
     faster = make_replica('faster', 0, 40)
@@ -122,53 +122,52 @@
     first = Stage(head, LayerRange(0, 8))
     query = make_query(head=first, avoid=frozenset(('lost',)))
     path = choose_path([head, faster, lost, *spares], query)
-    assert runs_once(path)
+    assert runs_each_layer_once(path)
     assert path[0] == first
 
 
 def test_load_spreads_over_copies() -> None:
-    """Two replicas hold the same layers, and a surge comes.
+    """A surge spreads over two replicas that hold the same layers.
 
-    Nodes see their own requests only; sending all to the nominally faster
-    one would fill its memory while the other idles.
+    Nodes see their own requests only. If all of them sent to the nominally
+    faster replica, its memory would fill while the other one idles.
     """
     replicas = [make_replica('one', 0, 30), make_replica('two', 0, 30)]
     rest = make_replica('rest', 30, 60)
     tail = make_replica('tail', 60, 80)
-    book = LoadBook()
+    tracker = LoadBook()
     used: Counter[str] = Counter()
-    chance = random.Random(3)
+    rng = random.Random(3)
     for _ in range(40):
         query = make_query(
-            draw=chance.random,
-            own_tokens=book.tokens,
-            load=book.estimate(0),
+            draw=rng.random,
+            own_tokens=tracker.tokens,
+            load=tracker.estimate(0),
         )
         path = choose_path([*replicas, rest, tail], query)
-        book.add(path, 991, 0)
+        tracker.add(path, 991, 0)
         used[path[0].replica.name] += 1
     assert min(used['one'], used['two']) >= 15
 
 
 def test_load_book_forgets_what_ended() -> None:
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
-    book.add(path, 100, 0)
-    book.add(path, 50, 0)
-    book.remove(path, 100, 0)
-    assert dict(book.tokens) == {'one': 50}
-    book.remove(path, 50, 0)
-    assert not book.requests
-    assert not book.tokens
+    tracker = LoadBook()
+    tracker.add(path, 100, 0)
+    tracker.add(path, 50, 0)
+    tracker.remove(path, 100, 0)
+    assert dict(tracker.tokens) == {'one': 50}
+    tracker.remove(path, 50, 0)
+    assert not tracker.requests
+    assert not tracker.tokens
 
 
 def test_fast_copy_is_not_flooded() -> None:
-    """Sixty nodes send two requests a second each; one copy is fast.
+    """Sixty nodes that send two requests a second each use a slow copy as well.
 
-    A node has none or one request in progress, so the fast copy looked idle
-    to each of them: all sent all there, and callers waited a second on a
-    calm day while the slow copy idled. What a node has had lately tells it
-    what the others have.
+    Each node has at most one request in progress. By these alone the fast copy
+    looked idle: all nodes sent everything there, and clients waited a second
+    under normal load. The mean load of a node shows that of the others.
     """
     fast = [
         make_replica(f'fast-{first}', first, first + 20)
@@ -178,9 +177,9 @@
         make_replica(f'slow-{first}', first, first + 4, kind='v100')
         for first in range(0, 80, 4)
     ]
-    chance = random.Random(5)
-    book = LoadBook()
-    book.share_among(60)
+    rng = random.Random(5)
+    tracker = LoadBook()
+    tracker.share_among(60)
     used: Counter[str] = Counter()
     now = 0.0
     ends: list[tuple[float, tuple[Stage, ...]]] = []
@@ -188,14 +187,14 @@
         now += 0.5
         while ends and ends[0][0] <= now:
             end, path = ends.pop(0)
-            book.remove(path, 991, end)
+            tracker.remove(path, 991, end)
         query = make_query(
-            draw=chance.random,
-            own_tokens=book.tokens,
-            load=book.estimate(now),
+            draw=rng.random,
+            own_tokens=tracker.tokens,
+            load=tracker.estimate(now),
         )
         path = choose_path([*fast, *slow], query)
-        book.add(path, 991, now)
+        tracker.add(path, 991, now)
         ends.append((now + 1.2, path))
         used[path[0].replica.name] += 1
     assert used['slow-0'] >= 4
@@ -203,10 +202,10 @@
 
 
 def test_first_replica_keeps_free_slots() -> None:
-    """The fast first replica works on as many requests as it has slots for.
+    """A fast first replica with full slots is not chosen.
 
-    It refuses more, and each refused one comes back a second later. A slow
-    one with free slots answers at once.
+    It refuses further requests, and each of them returns a second later, while
+    a slow one with free slots answers at once.
     """
     fast = dataclasses.replace(make_replica('fast', 0, 20), slots=96)
     slow = dataclasses.replace(make_replica('slow', 0, 10), slots=96)
@@ -215,7 +214,7 @@
         make_replica(f'rest-{first}', first, first + 20)
         for first in (20, 40, 60)
     ]
-    # Requests that cost others nothing, so that only the slots tell.
+    # Requests that slow down no others, so that only the slots matter.
     profile = dataclasses.replace(USUAL, writer_ms=0)
     for taken, chosen in ((40, 'fast'), (96, 'slow')):
         load = LoadEstimate({'fast': taken}, {})
@@ -224,17 +223,17 @@
 
 
 def test_new_node_learns_of_the_others_at_once() -> None:
-    """Sixty nodes have just been started together, and clients come back.
+    """Nodes that start together account for each other's load at once.
 
-    With means that begin at nothing, each took the others to be idle for
-    three seconds and sent all to the fastest first replica.
+    With means that begin at zero, each of sixty nodes took the others to be
+    idle for three seconds and sent everything to the fastest first replica.
     """
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
-    book.share_among(60)
-    book.estimate(0)
-    book.add(path, 991, 0.1)
-    assert book.estimate(0.5).requests['one'] > 20
+    tracker = LoadBook()
+    tracker.share_among(60)
+    tracker.estimate(0)
+    tracker.add(path, 991, 0.1)
+    assert tracker.estimate(0.5).requests['one'] > 20
 
 
 def _make_zones(names: list[str]) -> list[object]:
@@ -246,26 +245,26 @@
 
 
 def test_few_of_many_zones_are_searched() -> None:
-    """A fleet of thirteen zones; its nodes spent most of their time on paths.
+    """Only some zones of a large fleet are searched for a path.
 
-    Each request was priced at every replica of every zone, though it mostly
-    stays in its own.
+    When each request was priced at all replicas of thirteen zones, nodes spent
+    most of their time on paths, though requests mostly stay in their own zone.
     """
     offered = _make_zones([f'zone-{number:02}' for number in range(13)])
-    drawn: list[float] = []
+    samples: list[float] = []
 
     def draw() -> float:
-        drawn.append(0.5)
-        return drawn[-1]
+        samples.append(0.5)
+        return samples[-1]
 
     path = choose_path(offered, make_query(zone='zone-05', draw=draw))
     assert {stage.replica.zone for stage in path} == {'zone-05'}
-    # One draw a zone for their order, and one a replica that is priced.
-    assert len(drawn) == 13 + SEARCHED_ZONES * 4
+    # One sample per zone for their order, one per replica searched.
+    assert len(samples) == 13 + SEARCHED_ZONES * 4
 
 
 def test_overflow_of_a_zone_spreads_over_all() -> None:
-    """One zone is late; each request of it goes to another one's paths."""
+    """Requests of an overloaded zone spread over all other zones."""
     names = [f'zone-{number:02}' for number in range(8)]
     offered = _make_zones(names)
     late = {f'zone-00-{first}': 9.0 for first in (0, 20, 40, 60)}
@@ -280,11 +279,11 @@
 
 
 def test_only_zone_with_a_path_is_found() -> None:
-    """All other zones have lost a layer; whichever is drawn, none is lost."""
+    """The only zone with a path is found, whichever zones are sampled first."""
     offered = [
-        one
-        for one in _make_zones([f'zone-{number:02}' for number in range(8)])
-        if one.zone == 'zone-07' or one.layers.first != 40
+        replica
+        for replica in _make_zones([f'zone-{number:02}' for number in range(8)])
+        if replica.zone == 'zone-07' or replica.layers.first != 40
     ]
     for seed in range(20):
         path = choose_path(offered, make_query(seed, zone='zone-00'))
--- a/tests/core/fleet/test_window.py
+++ b/tests/core/fleet/test_window.py
@@ -1,10 +1,9 @@
-"""More requests than the engines can serve, decided by what each node sees.
+"""Concurrency windows under overload, with each node's local view only.
 
-The pattern: several nodes send to one first replica with so many slots, which
-queues half as many more and refuses the rest. Clients come unevenly, four
-times as many as there are places for; a usual answer takes three seconds. The
-figures are those of a played day on which first events came after 1.3 s and
-nearly none in time.
+Several nodes send to one first replica, which queues half as many requests as
+it has slots and refuses the rest. Clients arrive unevenly, four times as many
+as there are slots for, and a typical answer takes three seconds. Without
+windows, first events came after 1.3 s, and nearly none of them in time.
 """
 
 import heapq
@@ -24,12 +23,12 @@
 OBJECTIVE = 0.5
 READ_SECONDS = 0.05
 CAPACITY = SLOTS / ANSWER_SECONDS
-SHARES = (1, 1, 1, 2, 2, 3, 4, 5, 6)
+CLIENT_SHARES = (1, 1, 1, 2, 2, 3, 4, 5, 6)
 
 
 @dataclass
-class Head:
-    """A first replica that starts requests in the order in which they come."""
+class FirstReplica:
+    """A first replica that starts requests in their order of arrival."""
 
     slots: int = SLOTS
     busy: int = 0
@@ -37,128 +36,137 @@
 
 
 @dataclass
-class Play:
-    """What became of the requests.
+class Result:
+    """Counts of the requests of a simulation.
 
     :param in_time: first events within the objective, by second.
-    :param most: requests at the first replica, at most, by second.
+    :param max_requests: most requests at the first replica, by second.
     """
 
     in_time: Counter[int] = field(default_factory=Counter)
     refused: int = 0
-    most: Counter[int] = field(default_factory=Counter)
+    max_requests: Counter[int] = field(default_factory=Counter)
 
 
 def _arrive(
     rates: Iterable[float],
     shares: tuple[int, ...],
-    chance: random.Random,
+    rng: random.Random,
 ) -> list[tuple[float, int]]:
-    """List arrivals and their nodes; one rate a second."""
+    """List arrivals with their nodes; each rate applies for a second."""
     found: list[tuple[float, int]] = []
     for second, rate in enumerate(rates):
-        at = second + chance.expovariate(rate)
+        at = second + rng.expovariate(rate)
         while at < second + 1:
-            found.append((at, chance.choices(range(len(shares)), shares)[0]))
-            at += chance.expovariate(rate)
+            found.append((at, rng.choices(range(len(shares)), shares)[0]))
+            at += rng.expovariate(rate)
     return found
 
 
-def _play(
+def _simulate(
     rates: list[float],
     *,
     limited: bool = True,
-    shares: tuple[int, ...] = SHARES,
+    shares: tuple[int, ...] = CLIENT_SHARES,
     seed: int = 1,
-) -> Play:
-    """Play arrivals against one first replica."""
-    chance = random.Random(seed)
-    nodes = [Windows(chance.random) for _ in shares]
-    head, play = Head(), Play()
-    order = itertools.count()
+) -> Result:
+    """Simulate arrivals at one first replica."""
+    rng = random.Random(seed)
+    nodes = [Windows(rng.random) for _ in shares]
+    first_replica, result = FirstReplica(), Result()
+    sequence = itertools.count()
     events: list[tuple[float, int, str, int]] = [
-        (at, next(order), 'come', node)
-        for at, node in _arrive(rates, shares, chance)
+        (at, next(sequence), 'come', node)
+        for at, node in _arrive(rates, shares, rng)
     ]
     heapq.heapify(events)
 
-    def start(at: float, came: float, node: int) -> None:
-        head.busy += 1
-        first = at - came + READ_SECONDS
+    def start(at: float, arrived_at: float, node: int) -> None:
+        first_replica.busy += 1
+        first = at - arrived_at + READ_SECONDS
         nodes[node].note_first('head', first, OBJECTIVE, at)
-        play.in_time[int(at)] += first <= OBJECTIVE
-        lasts = ANSWER_SECONDS * chance.uniform(0.3, 1.7)
-        heapq.heappush(events, (at + lasts, next(order), 'end', node))
+        result.in_time[int(at)] += first <= OBJECTIVE
+        duration = ANSWER_SECONDS * rng.uniform(0.3, 1.7)
+        heapq.heappush(events, (at + duration, next(sequence), 'end', node))
 
     while events:
-        at, _, what, node = heapq.heappop(events)
-        if what == 'end':
-            head.busy -= 1
+        at, _, kind, node = heapq.heappop(events)
+        if kind == 'end':
+            first_replica.busy -= 1
             nodes[node].remove('head')
-            if head.waiting:
-                came, waiter = head.waiting.popleft()
-                start(at, came, waiter)
+            if first_replica.waiting:
+                arrived_at, waiter = first_replica.waiting.popleft()
+                start(at, arrived_at, waiter)
             continue
         if limited and 'head' in nodes[node].list_closed():
-            play.refused += 1
-        elif head.busy < head.slots:
+            result.refused += 1
+        elif first_replica.busy < first_replica.slots:
             nodes[node].add('head')
             start(at, at, node)
-        elif len(head.waiting) < QUEUE:
+        elif len(first_replica.waiting) < QUEUE:
             nodes[node].add('head')
-            head.waiting.append((at, node))
+            first_replica.waiting.append((at, node))
         else:
             nodes[node].note_full('head', at)
-            play.refused += 1
-        taken = head.busy + len(head.waiting)
-        play.most[int(at)] = max(play.most[int(at)], taken)
-    return play
+            result.refused += 1
+        taken = first_replica.busy + len(first_replica.waiting)
+        result.max_requests[int(at)] = max(result.max_requests[int(at)], taken)
+    return result
 
 
 def test_usual_load_is_not_limited() -> None:
-    """Half of what fits comes; nobody is refused."""
-    assert _play([CAPACITY / 2] * 30).refused == 0
+    """No request is refused at half of the capacity."""
+    assert _simulate([CAPACITY / 2] * 30).refused == 0
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_surge_keeps_what_the_engines_can_do(seed: int) -> None:
-    """Four times as many come as there are places for, for 14 seconds.
+    """Most of the capacity stays in use in time at four times the capacity.
 
     Without windows the queue is never empty and every first event is late.
     """
     rates = [CAPACITY / 2] * 6 + [CAPACITY * 4] * 14
-    limited = _play(rates, seed=seed)
-    free = _play(rates, limited=False, seed=seed)
+    limited = _simulate(rates, seed=seed)
+    unlimited = _simulate(rates, limited=False, seed=seed)
     served = sum(limited.in_time[second] for second in range(10, 20))
     assert served > 0.7 * CAPACITY * 10
-    assert sum(free.in_time[second] for second in range(10, 20)) < 0.1 * served
+    assert (
+        sum(unlimited.in_time[second] for second in range(10, 20))
+        < 0.1 * served
+    )
 
 
 def test_window_settles_after_a_surge_begins() -> None:
-    """The queue is short a few seconds into a surge, and stays so."""
-    play = _play([CAPACITY / 2] * 6 + [CAPACITY * 3] * 24)
-    assert max(play.most[second] for second in range(10, 30)) <= SLOTS * 1.25
+    """The queue is short a few seconds into a surge, and stays short."""
+    result = _simulate([CAPACITY / 2] * 6 + [CAPACITY * 3] * 24)
+    assert (
+        max(result.max_requests[second] for second in range(10, 30))
+        <= SLOTS * 1.25
+    )
 
 
 def test_window_opens_after_a_surge() -> None:
-    """What fits is served again in full when a surge is over."""
+    """Requests below the capacity are served in full again after a surge."""
     rates = [CAPACITY * 4] * 10 + [CAPACITY * 0.8] * 20
-    play = _play(rates)
-    served = sum(play.in_time[second] for second in range(18, 30))
+    result = _simulate(rates)
+    served = sum(result.in_time[second] for second in range(18, 30))
     assert served > 0.9 * 0.8 * CAPACITY * 12
 
 
 def test_more_nodes_than_slots() -> None:
-    """Two hundred nodes share the slots; one request of each is too many."""
-    play = _play(
+    """Windows work with two hundred nodes and fewer slots.
+
+    One request of each node would be too many.
+    """
+    result = _simulate(
         [CAPACITY / 2] * 6 + [CAPACITY * 4] * 30, shares=tuple([1] * 200)
     )
-    served = sum(play.in_time[second] for second in range(20, 36))
+    served = sum(result.in_time[second] for second in range(20, 36))
     assert served > 0.4 * CAPACITY * 16
 
 
 def test_late_requests_leave_room_for_others() -> None:
-    """A window is nearly full; those who come for the first time go first."""
+    """New requests have priority over retried ones in a nearly full window."""
     windows = Windows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
@@ -172,7 +180,7 @@
 
 
 def test_requests_sent_together_shrink_once() -> None:
-    """Ten requests that were sent before the window shrank are late too."""
+    """Late requests from before a window shrank don't shrink it again."""
     windows = Windows(random.Random(1).random)
     for _ in range(20):
         windows.add('head')
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -1,4 +1,4 @@
-"""A model and a fleet of the usual kinds, for tests of the decisions."""
+"""A typical model and fleet for tests of placement and path choice."""
 
 import random
 
@@ -61,21 +61,21 @@
 
 
 def make_query(seed: int = 1, **changes: object) -> PathQuery:
-    """Ask for a path for a usual request."""
-    chance = random.Random(seed)
+    """Make the query of a path for a typical request."""
+    rng = random.Random(seed)
     fields: dict[str, object] = {
         'profile': USUAL,
         'zone': 'zone-a',
         'prompt': 775,
         'answer': 216,
-        'draw': chance.random,
+        'draw': rng.random,
         **changes,
     }
     return PathQuery(**fields)  # type: ignore[arg-type]
 
 
-def runs_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
-    """Whether a path runs each layer once and in order."""
+def runs_each_layer_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
+    """Return whether a path runs each layer once and in order."""
     run = [
         layer
         for stage in path
