--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
@@ -10,7 +10,7 @@
 
 from collections import Counter
 
-BEYOND_SHARE = 2.5
+MAX_SHARE_MULTIPLE = 2.5
 """Multiple of its equal share above which an account is limited.
 
 Accounts differ in size: the largest of ten mostly has twice an equal share.
@@ -22,7 +22,7 @@
 """Requests in progress below which no account is limited."""
 
 
-class AccountBook:
+class AccountTracker:
     """Counts the requests of each client account in progress at this node."""
 
     def __init__(self) -> None:
@@ -38,10 +38,10 @@
         if self._requests[account] <= 0:
             del self._requests[account]
 
-    def is_heavy(self, account: str) -> bool:
+    def exceeds_share(self, account: str) -> bool:
         """Return whether an account exceeds its share."""
         requests = self._requests.get(account, 0)
         active = len(self._requests)
         if requests < _MIN_REQUESTS or active < 2:
             return False
-        return requests > BEYOND_SHARE * self._requests.total() / active
+        return requests > MAX_SHARE_MULTIPLE * self._requests.total() / active
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -25,7 +25,7 @@
 _HEADROOMS = range(_MAX_HEADROOM, MIN_HEADROOM - 1, -4)
 """Headrooms that are tried for the replicas of a copy, largest first."""
 
-_RESERVE_SHARE = 0.65
+_RESERVE_RATIO = 0.65
 """Fraction of a copy's headroom that must remain when replicas are reserved.
 
 With less than this, requests wait for places under normal load.
@@ -140,7 +140,7 @@
         return without_standby
     first, standby, *others = ordered
     holders = [first, *others]
-    min_headroom = _find_headroom(ordered, profile) * _RESERVE_SHARE
+    min_headroom = _find_headroom(ordered, profile) * _RESERVE_RATIO
     if _find_headroom(holders, profile) < max(min_headroom, MIN_HEADROOM):
         return without_standby
     return _Roles(holders, standby)
@@ -182,7 +182,7 @@
     """
     max_headroom = _find_headroom(ordered, profile)
     with_spare = _find_headroom(ordered[:-_SPARE_REPLICAS], profile)
-    if with_spare >= max_headroom * _RESERVE_SHARE:
+    if with_spare >= max_headroom * _RESERVE_RATIO:
         max_headroom = with_spare
     return fit_pool(ordered, profile, max_headroom or MIN_HEADROOM)
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
@@ -38,12 +38,12 @@
 
 
 @dataclass(eq=False)
-class DurationBook:
+class DurationTracker:
     """Mean duration of requests, by replica name."""
 
     _means: dict[str, _Mean] = field(default_factory=dict)
 
-    def note(self, name: str, seconds: float, now: float) -> None:
+    def record(self, name: str, seconds: float, now: float) -> None:
         """Record how long a request took, whether it was answered or given up.
 
         :param name: of the replica.
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
@@ -46,14 +46,14 @@
     updated: float
 
 
-class FailureBook:
+class FailureTracker:
     """Evidence of failing replicas, and the failure ratios of routes."""
 
     def __init__(self) -> None:
         self._baselines: dict[str, float] = {}
         self._evidence: dict[str, _Evidence] = {}
 
-    def note(
+    def record(
         self,
         replica: str,
         route: str,
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_heads.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_heads.py
@@ -14,7 +14,9 @@
 _HASH_BYTES = 8
 
 
-def rank_heads(digest: str, replicas: Iterable[Replica]) -> list[Replica]:
+def rank_first_replicas(
+    digest: str, replicas: Iterable[Replica]
+) -> list[Replica]:
     """Rank first replicas for a request that may crash them, best first.
 
     A replica ranks first if another one in its availability zone holds the
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -75,7 +75,7 @@
 """An estimate without any requests in progress."""
 
 
-class LoadBook:
+class LoadTracker:
     """Load that this node has at each replica, and excess latency of its paths.
 
     A node sees its own requests only. Whether other nodes overload a replica,
@@ -91,7 +91,7 @@
         self._started_at: float | None = None
         self._excess: dict[str, tuple[float, float]] = {}
 
-    def note_first(
+    def record_first_event(
         self,
         path: Iterable[Stage],
         seconds: float,
@@ -125,7 +125,7 @@
             name: mean for name, mean in self._means.items() if name in names
         }
 
-    def share_among(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Set the number of nodes of the fleet."""
         self._nodes = nodes
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -17,8 +17,8 @@
 
     :param requests: typical requests in progress at once.
     """
-    tokens = profile.usual_prompt + profile.usual_answer
-    per_layer = profile.layer_mb + requests * tokens * profile.cache_mb
+    tokens = profile.typical_prompt + profile.typical_answer
+    per_layer = profile.layer_mb + requests * tokens * profile.kv_cache_mb
     return min(profile.layers, int(accelerator.memory_mb / per_layer))
 
 
@@ -29,7 +29,7 @@
 ) -> float:
     """Estimate the tokens whose KV caches fit beside a range of layers."""
     free = accelerator.memory_mb - len(layers) * profile.layer_mb
-    return max(0, free / (len(layers) * profile.cache_mb))
+    return max(0, free / (len(layers) * profile.kv_cache_mb))
 
 
 def estimate_step(
@@ -42,7 +42,7 @@
 
     :param sequences: number of requests that are decoded together.
     """
-    total = profile.step_ms + sequences * profile.writer_ms
+    total = profile.step_ms + sequences * profile.sequence_ms
     fraction = layers / profile.layers
     return total * accelerator.step_factor * fraction / _MS
 
@@ -55,5 +55,5 @@
 ) -> float:
     """Estimate the duration of the prefill of a prompt, in seconds."""
     fraction = layers / profile.layers
-    total = tokens / profile.read_per_ms
+    total = tokens / profile.prefill_tokens_per_ms
     return total * accelerator.prefill_factor * fraction / _MS
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -80,24 +80,24 @@
     replicas: Iterable[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool = False,
+    allow_relayout: bool = False,
 ) -> tuple[Move, ...]:
     """Plan the commands that complete and improve the copies of each zone.
 
     :param replicas: all replicas of the service that are alive.
-    :param thorough: whether to assign all layers of a pool anew if single
+    :param allow_relayout: whether to assign all layers of a pool anew if single
         steps can't close its gaps.
     :returns: the commands; empty if no step has enough benefit.
     """
     return tuple(
         itertools.chain.from_iterable(
-            _plan_pool(pool, profile, thorough=thorough)
+            _plan_pool(pool, profile, allow_relayout=allow_relayout)
             for pool in make_pools(replicas, profile)
         )
     )
 
 
-def misses_layers(
+def lacks_layers(
     replicas: Iterable[Replica],
     profile: ModelProfile,
 ) -> bool:
@@ -112,18 +112,18 @@
     pool: list[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool,
+    allow_relayout: bool,
 ) -> list[Move]:
     if not any(replica.layers for replica in pool):
         return place_copies(pool, profile)
-    return _improve(pool, profile, thorough=thorough)
+    return _improve(pool, profile, allow_relayout=allow_relayout)
 
 
 def _improve(
     pool: list[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool,
+    allow_relayout: bool,
 ) -> list[Move]:
     """Close the gaps with the largest headroom possible, then improve the plan.
 
@@ -137,11 +137,11 @@
         *itertools.product(_AMPLE_HEADROOMS + _SCARCE_HEADROOMS, (True,)),
     ):
         plan = PoolPlan(pool, profile)
-        options = _StepOptions(headroom, thorough, moves_redundant)
+        options = _StepOptions(headroom, allow_relayout, moves_redundant)
         moves = _take_steps(pool, plan, options)
         if plan.find_gap() is None:
             return moves
-    return relayout_pool(pool, profile) if thorough else moves
+    return relayout_pool(pool, profile) if allow_relayout else moves
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,13 +149,13 @@
     """Limits of the steps of a plan.
 
     :param headroom: typical requests for which a changed replica keeps memory.
-    :param thorough: whether gaps have persisted.
+    :param allow_relayout: whether gaps have persisted.
     :param moves_redundant: whether replicas may move whose layers are held by
         others as well.
     """
 
     headroom: int
-    thorough: bool
+    allow_relayout: bool
     moves_redundant: bool
 
 
@@ -223,7 +223,7 @@
     elif gap is not None:
         max_layers = fit_replica(replica, plan.profile, options.headroom)
         yield from _list_extensions(replica, layers, max_layers, gap)
-        moves = options.thorough and options.moves_redundant
+        moves = options.allow_relayout and options.moves_redundant
         if moves and plan.is_redundant(replica):
             yield from _list_ranges(replica, plan, options.headroom, gap)
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
@@ -61,7 +61,7 @@
         self.profile = profile
         self.held = {member.name: member.layers for member in pool}
         self.tokens = list(itertools.repeat(0.0, profile.layers))
-        self._typical_tokens = profile.usual_prompt + profile.usual_answer
+        self._typical_tokens = profile.typical_prompt + profile.typical_answer
         self._first_replicas = 0
         self._first_replica_cost = (
             FIRST_REPLICA_COST_RATIO * self._compute_even_cost(pool)
@@ -159,7 +159,7 @@
             return 0
         return (
             profile.layers
-            * (self._typical_tokens * profile.cache_mb / free) ** 2
+            * (self._typical_tokens * profile.kv_cache_mb / free) ** 2
         )
 
     def _compute_layer_cost(self, tokens: float) -> float:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -73,13 +73,13 @@
     :param answer: expected tokens of the answer.
     :param draw: returns random numbers from 0 to 1.
     :param avoid: names of replicas not to use.
-    :param own_tokens: tokens of this node's requests at each replica.
+    :param local_tokens: tokens of this node's requests at each replica.
     :param load: estimated load of all nodes.
     :param excess: excess latency in seconds of paths through each replica.
     :param paces: step-time factors that slow replicas have reported.
     :param closed: names of replicas where no path may begin.
     :param head: the stage that must come first, if any.
-    :param kept: names of replicas that have done the prefill already.
+    :param prefilled: names of replicas that have done the prefill already.
     :param crosses: whether the path may change zones in its middle.
     """
 
@@ -89,13 +89,13 @@
     answer: int
     draw: Callable[[], float]
     avoid: frozenset[str] = frozenset()
-    own_tokens: Mapping[str, int] = field(default_factory=dict)
+    local_tokens: Mapping[str, int] = field(default_factory=dict)
     load: LoadEstimate = NO_LOAD
     excess: Mapping[str, float] = field(default_factory=dict)
     paces: Mapping[str, float] = field(default_factory=dict)
     closed: frozenset[str] = frozenset()
     head: Stage | None = None
-    kept: frozenset[str] = frozenset()
+    prefilled: frozenset[str] = frozenset()
     crosses: bool = True
 
 
@@ -109,7 +109,7 @@
     layer_costs: dict[str, float] = {}
     for replica in usable:
         capacity = _estimate_capacity(replica, query)
-        local_tokens = query.own_tokens.get(replica.name, 0)
+        local_tokens = query.local_tokens.get(replica.name, 0)
         needed = query.prompt + query.answer
         if local_tokens + needed <= capacity:
             load = query.load.tokens.get(replica.name, 0)
@@ -138,7 +138,7 @@
     prefill = estimate_prefill(profile, accelerator, 1, query.prompt)
     crowding = 1 + min(fullness, _MAX_FULLNESS) ** 2
     noise = _sample_noise(query)
-    if replica.name in query.kept:
+    if replica.name in query.prefilled:
         prefill = 0
         noise = 1
     late = query.excess.get(replica.name, 0) * EXCESS_WEIGHT / profile.layers
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
@@ -12,7 +12,7 @@
 RATE_SECONDS = 2.0
 """Averaging time of the rate of places: the duration of a typical answer."""
 
-RETURN_SHARE = 0.25
+RETRY_FRACTION = 0.25
 """Fraction of the places that is planned for clients that retry.
 
 The others go to new requests: to its client, an answer in time is worth four
@@ -32,7 +32,7 @@
 """Fraction of the maximum delay over which later retries are spread."""
 
 
-class ReturnPlan:
+class RetryScheduler:
     """Retry times that one node has assigned to refused clients."""
 
     def __init__(self) -> None:
@@ -40,18 +40,18 @@
         self._updated = 0.0
         self._last_retry_at = 0.0
 
-    def note_start(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Record that a request was admitted."""
         self._rate = self._decay(now) + 1 / RATE_SECONDS
         self._updated = now
 
-    def give_turn(self, now: float, left: float, sample: float) -> float:
+    def assign_delay(self, now: float, left: float, sample: float) -> float:
         """Return the seconds after which a refused client may retry.
 
         :param left: seconds that the client goes on waiting for an answer.
         :param sample: random number from 0 to 1.
         """
-        rate = max(MIN_RATE, self._decay(now) * RETURN_SHARE)
+        rate = max(MIN_RATE, self._decay(now) * RETRY_FRACTION)
         retry_at = max(now + MIN_DELAY_SECONDS, self._last_retry_at + 1 / rate)
         max_wait = left * MAX_WAIT_FRACTION
         if retry_at - now >= max_wait:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_rows.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_rows.py
@@ -84,6 +84,6 @@
         left -= layers
         step += estimate_step(profile, accelerator, layers, headroom)
         prefill += estimate_prefill(
-            profile, accelerator, layers, int(profile.usual_prompt)
+            profile, accelerator, layers, int(profile.typical_prompt)
         )
-    return headroom / (step * profile.usual_answer + prefill)
+    return headroom / (step * profile.typical_answer + prefill)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(eq=False)
-class PaceBook:
+class StepFactorTracker:
     """Step-time factors that slow replicas have reported, by replica name."""
 
     _slow: dict[str, tuple[float, float]] = field(default_factory=dict)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -57,7 +57,7 @@
             object.__setattr__(self, 'entry', self.name)
 
 
-def name_life(entry: str, born: int) -> str:
+def name_incarnation(entry: str, born: int) -> str:
     """Build the name of an incarnation of a registry entry.
 
     :param born: milliseconds; 0 where incarnations are not distinguished.
@@ -86,25 +86,25 @@
     Times are for all layers; those of a part are proportional to its layers.
 
     :param layer_mb: weights of one layer.
-    :param cache_mb: KV cache of one token in one layer.
+    :param kv_cache_mb: KV cache of one token in one layer.
     :param step_ms: duration of one decode step, whatever the batch.
-    :param writer_ms: added to a step for each request that is decoded.
-    :param read_per_ms: prompt tokens per millisecond of prefill.
+    :param sequence_ms: added to a step for each request that is decoded.
+    :param prefill_tokens_per_ms: prompt tokens per millisecond of prefill.
     :param load_seconds: to load all layers.
-    :param usual_prompt: mean tokens of a prompt.
-    :param usual_answer: mean tokens of an answer.
+    :param typical_prompt: mean tokens of a prompt.
+    :param typical_answer: mean tokens of an answer.
     :param accelerators: by name of their kind.
     """
 
     layers: int
     layer_mb: float
-    cache_mb: float
+    kv_cache_mb: float
     step_ms: float
-    writer_ms: float
-    read_per_ms: float
+    sequence_ms: float
+    prefill_tokens_per_ms: float
     load_seconds: float
-    usual_prompt: float
-    usual_answer: float
+    typical_prompt: float
+    typical_answer: float
     accelerators: Mapping[str, Accelerator]
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -37,13 +37,13 @@
 A first replica refuses requests when its queue is full.
 """
 
-LEAST_WINDOW = 0.1
+MIN_WINDOW = 0.1
 """Lower bound of a window; below 1 it is the probability of admission.
 
 If there are more nodes than slots, one request of each would be too many.
 """
 
-YIELDING_SHARE = 0.8
+YIELDING_FRACTION = 0.8
 """Fraction of a window that is open to requests that yield to others.
 
 Such requests were refused before, so their answers are late anyway. When they
@@ -52,7 +52,7 @@
 share yield too.
 """
 
-LATE_SHARE = 0.5
+LATE_FRACTION = 0.5
 """Fraction of the objective within which the first event of a free path comes.
 
 The prefill of a long prompt takes 0.1 s; the remainder is for the network
@@ -92,7 +92,7 @@
     cooldown_until: float
 
 
-class Windows:
+class ConcurrencyWindows:
     """Concurrency windows of one node, by name of the first replica.
 
     :param sample: returns random numbers from 0 to 1.
@@ -119,7 +119,7 @@
         :param yields: whether the request leaves a part of the window to
             others.
         """
-        fraction = YIELDING_SHARE if yields else 1
+        fraction = YIELDING_FRACTION if yields else 1
         return frozenset(
             name
             for name, window in self._windows.items()
@@ -131,7 +131,7 @@
         window = self._windows.get(name)
         return math.inf if window is None else window.limit
 
-    def note_first(
+    def record_first_event(
         self,
         name: str,
         seconds: float,
@@ -143,12 +143,12 @@
         :param seconds: that it took.
         :param objective: seconds within which the client expects it.
         """
-        if seconds > objective * LATE_SHARE:
+        if seconds > objective * LATE_FRACTION:
             self._shrink(name, LATE_SHRINK_FACTOR, now)
         else:
             self._grow(name)
 
-    def note_full(self, name: str, now: float) -> None:
+    def record_refusal(self, name: str, now: float) -> None:
         """Record that a first replica refused a request because it was full."""
         self._shrink(name, REFUSAL_SHRINK_FACTOR, now)
 
@@ -170,7 +170,7 @@
         if now < window.cooldown_until:
             return
         used_limit = min(window.limit, max(1, self.requests[name]))
-        window.limit = max(LEAST_WINDOW, used_limit * fraction)
+        window.limit = max(MIN_WINDOW, used_limit * fraction)
         window.cooldown_until = now + SHRINK_COOLDOWN_SECONDS
 
     def _grow(self, name: str) -> None:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
@@ -10,7 +10,7 @@
     LayerRange,
     Replica,
     Suspects,
-    name_life,
+    name_incarnation,
 )
 from ryelatch_core.kernel import Clock, Hub
 from ryelatch_core.membership import DepartureBounds
@@ -124,7 +124,7 @@
         if known is None or born < known.born:
             return
         if born > known.born:
-            name = name_life(known.entry, born)
+            name = name_incarnation(known.entry, born)
             self._missing.pass_on(known.name, name)
             self._put(replace(known, name=name, born=born, layers=layers))
             self._tell()
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -10,7 +10,7 @@
     ModelProfile,
     Move,
     Replica,
-    misses_layers,
+    lacks_layers,
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
@@ -67,13 +67,13 @@
 
     :param missing: whether nobody holds some layer of a pool.
     :param ordered: names of replicas with an order under way.
-    :param thorough: whether pools may be laid out anew.
+    :param allow_relayout: whether pools may be laid out anew.
     """
 
     pools: _Pools
     missing: bool
     ordered: frozenset[str]
-    thorough: bool
+    allow_relayout: bool
 
 
 @dataclass(eq=False)
@@ -179,13 +179,14 @@
             pools=pools,
             missing=missing,
             ordered=self._book.open,
-            thorough=self._timing.may_lay_out(now) and not self._book.open,
+            allow_relayout=self._timing.may_lay_out(now)
+            and not self._book.open,
         )
 
     def _misses_layers(self, pools: _Pools) -> bool:
         """Whether layers are missing; worked out when something changed."""
         if self._seen is None or self._seen[0] != pools:
-            missing = any(misses_layers(alive, model) for model, alive in pools)
+            missing = any(lacks_layers(alive, model) for model, alive in pools)
             self._seen = (pools, missing)
         return self._seen[1]
 
@@ -228,10 +229,12 @@
         moves = [
             move
             for model, alive in state.pools
-            for move in plan_moves(alive, model, thorough=state.thorough)
+            for move in plan_moves(
+                alive, model, allow_relayout=state.allow_relayout
+            )
             if move.replica.name not in state.ordered
         ]
-        if state.thorough and moves and self.lease.held:
+        if state.allow_relayout and moves and self.lease.held:
             self._timing.note_layout(now)
         return moves
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -8,7 +8,7 @@
     Replica,
     Stage,
     choose_path,
-    rank_heads,
+    rank_first_replicas,
 )
 from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 from ryelatch_node.relay._parts import RelayContext
@@ -92,7 +92,7 @@
         has a path.
     """
     excluded = query.avoid | query.closed
-    ranked = rank_heads(
+    ranked = rank_first_replicas(
         digest,
         [replica for replica in offered if replica.name not in excluded],
     )
@@ -119,7 +119,7 @@
     longest = max(timeout, context.longest_timeouts.get(route.name, 0))
     context.longest_timeouts[route.name] = longest
     late = timeout < longest - route.objective
-    heavy = context.accounts.is_heavy(request.account)
+    heavy = context.accounts.exceeds_share(request.account)
     return context.windows.list_closed(yields=late or heavy)
 
 
@@ -130,7 +130,7 @@
     )
     if query is None:
         return True
-    unloaded = replace(query, own_tokens={}, load=NO_LOAD)
+    unloaded = replace(query, local_tokens={}, load=NO_LOAD)
     offered = context.replicas.list_service(request.service)
     return not choose_path(offered, unloaded)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -143,7 +143,7 @@
     context.load.add(path, tokens, now)
     context.windows.add(stream.first_replica.name)
     context.accounts.add(request.account)
-    context.returns.note_start(now)
+    context.returns.record_start(now)
     watch.streams.add(stream)
     try:
         async with scope:
@@ -354,7 +354,9 @@
 ) -> float:
     """Estimate after how many seconds a refused client should retry."""
     now = context.clock.monotonic()
-    delay = context.returns.give_turn(now, request.ends - now, context.draw())
+    delay = context.returns.assign_delay(
+        now, request.ends - now, context.draw()
+    )
     return max(
         delay, find_retry_after(context, list_first_replicas(context, request))
     )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
@@ -107,9 +107,12 @@
         )
         if query is None:
             return ()
-        kept = frozenset(stage.replica.name for stage in stream.path)
+        prefilled = frozenset(stage.replica.name for stage in stream.path)
         fixed = replace(
-            query, head=stream.path[0], kept=kept - lost, crosses=crosses
+            query,
+            head=stream.path[0],
+            prefilled=prefilled - lost,
+            crosses=crosses,
         )
         # The first replica goes on with its stage even while it leaves or
         # releases those layers, though the registry lists them no more.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -5,12 +5,12 @@
 
 from ryelatch_core.events import LineLog, UsageTracker
 from ryelatch_core.fleet import (
-    AccountBook,
-    DurationBook,
-    FailureBook,
-    LoadBook,
-    ReturnPlan,
-    Windows,
+    AccountTracker,
+    ConcurrencyWindows,
+    DurationTracker,
+    FailureTracker,
+    LoadTracker,
+    RetryScheduler,
 )
 from ryelatch_core.kernel import Clock
 from ryelatch_core.retries import RetryBudget
@@ -44,15 +44,15 @@
     quarantine: Quarantine
     throttle: Throttle
     costs: UsageTracker = field(default_factory=UsageTracker)
-    load: LoadBook = field(default_factory=LoadBook)
+    load: LoadTracker = field(default_factory=LoadTracker)
     crash_checks: CrashChecks = field(init=False)
     paces: SlowReplicaChecks = field(init=False)
-    windows: Windows = field(init=False)
-    accounts: AccountBook = field(default_factory=AccountBook)
-    returns: ReturnPlan = field(default_factory=ReturnPlan)
+    windows: ConcurrencyWindows = field(init=False)
+    accounts: AccountTracker = field(default_factory=AccountTracker)
+    returns: RetryScheduler = field(default_factory=RetryScheduler)
     longest_timeouts: dict[str, float] = field(default_factory=dict)
-    failures: FailureBook = field(default_factory=FailureBook)
-    durations: DurationBook = field(default_factory=DurationBook)
+    failures: FailureTracker = field(default_factory=FailureTracker)
+    durations: DurationTracker = field(default_factory=DurationTracker)
 
     def __post_init__(self) -> None:
         """Create the members that depend on others."""
@@ -60,7 +60,7 @@
         self.paces = SlowReplicaChecks(
             self.log, self.clock, self.orders, self.throttle.is_throttled
         )
-        self.windows = Windows(self.draw)
+        self.windows = ConcurrencyWindows(self.draw)
 
     def now(self) -> float:
         """Read the clock, in monotonic seconds."""
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -225,7 +225,7 @@
     finally:
         context.load.requests[replica.name] -= 1
         finished = context.now()
-        context.durations.note(replica.name, finished - now, finished)
+        context.durations.record(replica.name, finished - now, finished)
 
 
 async def _send(
@@ -261,7 +261,7 @@
     exchange.ran += 1
     context.quarantine.record_run(request.digest)
     failed = answer.status >= _SERVER_ERROR
-    context.failures.note(
+    context.failures.record(
         replica.name,
         request.route.name,
         context.clock.monotonic(),
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import catalogue
-from ryelatch_core.fleet import LATE_SHARE, Replica
+from ryelatch_core.fleet import LATE_FRACTION, Replica
 from ryelatch_core.streams import EventSplitter
 from ryelatch_node.relay._errors import SendErrorKind
 from ryelatch_node.relay._exchange import round_seconds
@@ -59,7 +59,7 @@
         answer.status == _UNAVAILABLE
         and fault.name == stream.first_replica.name
     ):
-        context.windows.note_full(fault.name, context.clock.monotonic())
+        context.windows.record_refusal(fault.name, context.clock.monotonic())
     if answer.terms.entry in {'', stream.first_replica.entry}:
         context.replicas.suspect(fault, reason, full=not stalled)
         prober.check(fault)
@@ -91,7 +91,7 @@
     context: RelayContext, stream: LiveStream, *, failed: bool
 ) -> None:
     """Record whether a first replica failed a request that it ran."""
-    context.failures.note(
+    context.failures.record(
         stream.first_replica.name,
         stream.request.route.name,
         context.clock.monotonic(),
@@ -112,13 +112,13 @@
         stream.first_event = stream.progress
         stream.exchange.ran += 1
         delay = stream.progress - stream.sent
-        context.load.note_first(stream.path, delay, stream.progress)
-        if delay > stream.request.route.objective * LATE_SHARE:
+        context.load.record_first_event(stream.path, delay, stream.progress)
+        if delay > stream.request.route.objective * LATE_FRACTION:
             context.paces.check(stream.path)
         if not stream.delayed_by_loss:
             # A first event that was delayed by a lost replica doesn't show
             # how full the first replica is.
-            context.windows.note_first(
+            context.windows.record_first_event(
                 stream.first_replica.name,
                 delay,
                 stream.request.route.objective,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -143,13 +143,13 @@
             # avoids that a connection is closed while a request arrives.
             self._config.timeout_keep_alive = math.ceil(limits.idle_seconds)
 
-    def share_among(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Set this node's part of the load and of the retry budget.
 
         :param nodes: number of nodes.
         """
         self._nodes = nodes
-        self._context.load.share_among(nodes)
+        self._context.load.set_node_count(nodes)
         self._apply_budget()
 
     def apply_settings(self, changed: SettingsChanged) -> None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
-from ryelatch_core.fleet import LoadBook, Replica
+from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
@@ -136,7 +136,7 @@
     housekeeper = Housekeeper(context, server)
     app.hub.connect(SettingsChanged, server.apply_settings)
     app.hub.connect(
-        NodesCounted, lambda counted: server.share_among(counted.nodes)
+        NodesCounted, lambda counted: server.set_node_count(counted.nodes)
     )
     upstreams = context.upstreams
     app.add(
@@ -176,8 +176,8 @@
 def _collect_parts(app: App) -> RelayContext:
     startup = app.find('startup', RelayStartup)
     wire = app.find('wire', Wire)
-    load = LoadBook()
-    load.share_among(ASSUMED_NODES)
+    load = LoadTracker()
+    load.set_node_count(ASSUMED_NODES)
     throttle = app.find('throttle', Throttle)
     replicas = app.find('replicas', ReplicaView)
     return RelayContext(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import LineLog, catalogue
-from ryelatch_core.fleet import PaceBook, Replica, Stage
+from ryelatch_core.fleet import Replica, Stage, StepFactorTracker
 from ryelatch_core.kernel import Clock
 from ryelatch_node.ports import Orders
 from ryelatch_node.tasks import Tasks
@@ -30,7 +30,7 @@
     clock: Clock
     orders: Orders
     is_throttled: Callable[[str], bool] = lambda _: False
-    tracker: PaceBook = field(default_factory=PaceBook)
+    tracker: StepFactorTracker = field(default_factory=StepFactorTracker)
     _requested_at: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
 
--- a/tests/core/fleet/test_accounts.py
+++ b/tests/core/fleet/test_accounts.py
@@ -12,19 +12,19 @@
 
 import pytest
 
-from ryelatch_core.fleet import AccountBook, Windows
+from ryelatch_core.fleet import AccountTracker, ConcurrencyWindows
 
 _WINDOW = 40
 _USUAL_RATE = 2.5
 _SMALL = [f'small-{number}' for number in range(9)]
 
 
-def _open_window(rng: random.Random) -> Windows:
+def _open_window(rng: random.Random) -> ConcurrencyWindows:
     """Make windows with one of about forty, as it is during a surge."""
-    windows = Windows(rng.random)
+    windows = ConcurrencyWindows(rng.random)
     for _ in range(_WINDOW):
         windows.add('head')
-    windows.note_first('head', 9, 1, 0)
+    windows.record_first_event('head', 9, 1, 0)
     for _ in range(_WINDOW):
         windows.remove('head')
     return windows
@@ -33,7 +33,7 @@
 def _simulate(surge: float, *, enforce_shares: bool) -> Counter[str]:
     """Count the requests of each account that are admitted within a minute."""
     rng = random.Random(1)
-    windows, tracker = _open_window(rng), AccountBook()
+    windows, tracker = _open_window(rng), AccountTracker()
     rates = dict.fromkeys(_SMALL, _USUAL_RATE) | {'large': _USUAL_RATE * surge}
     sequence = itertools.count()
     events: list[tuple[float, int, str, str]] = []
@@ -49,7 +49,7 @@
             windows.remove('head')
             tracker.remove(account)
             continue
-        yields = enforce_shares and tracker.is_heavy(account)
+        yields = enforce_shares and tracker.exceeds_share(account)
         if 'head' in windows.list_closed(yields=yields):
             continue
         windows.add('head')
@@ -81,17 +81,17 @@
 
 @pytest.mark.parametrize('busy', [1, 10])
 def test_even_accounts_are_not_heavy(busy: int) -> None:
-    tracker = AccountBook()
+    tracker = AccountTracker()
     for number, _ in itertools.product(range(busy), range(5)):
         tracker.add(f'account-{number}')
     assert not any(
-        tracker.is_heavy(f'account-{index}') for index in range(busy)
+        tracker.exceeds_share(f'account-{index}') for index in range(busy)
     )
 
 
 def test_few_requests_are_not_heavy() -> None:
     """An account with two requests is not limited, with one other account."""
-    tracker = AccountBook()
+    tracker = AccountTracker()
     for account in ('one', 'one', 'other'):
         tracker.add(account)
-    assert not tracker.is_heavy('one')
+    assert not tracker.exceeds_share('one')
--- a/tests/core/fleet/test_copies.py
+++ b/tests/core/fleet/test_copies.py
@@ -8,14 +8,16 @@
 
 import pytest
 
-from core_fleet import USUAL, ZONES, make_fleet, make_query
+from core_fleet import TYPICAL_MODEL, ZONES, make_fleet, make_query
 from ryelatch_core.fleet import Replica, choose_path, plan_moves
 
 _MAX_FIRST_LAYERS_RATIO = 0.1
 
 
 def _place(fleet: list[Replica]) -> list[Replica]:
-    moves = {move.replica.name: move for move in plan_moves(fleet, USUAL)}
+    moves = {
+        move.replica.name: move for move in plan_moves(fleet, TYPICAL_MODEL)
+    }
     return [
         dataclasses.replace(replica, layers=moves[replica.name].layers)
         if replica.name in moves
@@ -63,7 +65,7 @@
             assert first_replica.layers
             assert (
                 len(first_replica.layers)
-                <= USUAL.layers * _MAX_FIRST_LAYERS_RATIO
+                <= TYPICAL_MODEL.layers * _MAX_FIRST_LAYERS_RATIO
             )
 
 
@@ -93,7 +95,8 @@
         replica for replica in placed if replica is not lost and replica.layers
     ]
     moved = {
-        move.replica.name: move.layers for move in plan_moves(remaining, USUAL)
+        move.replica.name: move.layers
+        for move in plan_moves(remaining, TYPICAL_MODEL)
     }
     for first_replica in first_replicas:
         assert first_replica.layers
@@ -125,7 +128,7 @@
             for replica in placed
             if replica.layers
         )
-        for layer in range(USUAL.layers)
+        for layer in range(TYPICAL_MODEL.layers)
     )
     assert copies >= 2
     assert len(_list_first_replicas(placed, 'zone-a')) == copies
--- a/tests/core/fleet/test_failures.py
+++ b/tests/core/fleet/test_failures.py
@@ -3,12 +3,12 @@
 import random
 from collections import Counter
 
-from ryelatch_core.fleet import FailureBook
+from ryelatch_core.fleet import FailureTracker
 
 _NAMES = ('good-1', 'grey', 'good-2')
 
 
-def _choose(tracker: FailureBook, now: float, rng: random.Random) -> str:
+def _choose(tracker: FailureTracker, now: float, rng: random.Random) -> str:
     failing = tracker.list_failing(now)
     return rng.choice([name for name in _NAMES if name not in failing])
 
@@ -22,7 +22,7 @@
     :param baseline: fraction that every replica fails.
     :param rate: requests per second of this node.
     """
-    tracker = FailureBook()
+    tracker = FailureTracker()
     rng = random.Random(4)
     sent: Counter[str] = Counter()
     for number in range(int(60 * rate)):
@@ -30,7 +30,7 @@
         name = _choose(tracker, now, rng)
         sent[name] += 1
         ratio = max(baseline, failure_ratio if name == 'grey' else 0)
-        tracker.note(name, 'route', now, failed=rng.random() < ratio)
+        tracker.record(name, 'route', now, failed=rng.random() < ratio)
     return sent
 
 
@@ -55,8 +55,8 @@
 
 def test_replica_is_tried_again() -> None:
     """A replica that failed every request is tried again after a while."""
-    tracker = FailureBook()
+    tracker = FailureTracker()
     for now in range(4):
-        tracker.note('grey', 'route', now, failed=True)
+        tracker.record('grey', 'route', now, failed=True)
     assert tracker.list_failing(4) == {'grey'}
     assert not tracker.list_failing(12)
--- a/tests/core/fleet/test_plan.py
+++ b/tests/core/fleet/test_plan.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from core_fleet import USUAL, make_fleet, make_replica
+from core_fleet import TYPICAL_MODEL, make_fleet, make_replica
 from ryelatch_core.fleet import (
     LayerRange,
     Replica,
@@ -17,7 +17,7 @@
 def _apply(fleet: list[Replica]) -> list[Replica]:
     moves = {
         move.replica.name: move
-        for move in plan_moves(fleet, USUAL, thorough=True)
+        for move in plan_moves(fleet, TYPICAL_MODEL, allow_relayout=True)
     }
     return [
         dataclasses.replace(replica, layers=moves[replica.name].layers)
@@ -52,14 +52,14 @@
         assert not _find_gaps(_list_held(fleet, zone))
     for replica in fleet:
         if replica.layers:
-            kind = USUAL.accelerators[replica.accelerator]
-            capacity = estimate_capacity(USUAL, kind, replica.layers)
+            kind = TYPICAL_MODEL.accelerators[replica.accelerator]
+            capacity = estimate_capacity(TYPICAL_MODEL, kind, replica.layers)
             assert capacity >= 30 * 991
 
 
 def test_whole_plan_changes_nothing() -> None:
     """A complete plan is not changed, since loads have a cost."""
-    assert not plan_moves(_apply(make_fleet()), USUAL)
+    assert not plan_moves(_apply(make_fleet()), TYPICAL_MODEL)
 
 
 @settings(max_examples=60, deadline=None)
@@ -76,9 +76,9 @@
         replica for number, replica in enumerate(placed) if number not in lost
     ]
     for _ in range(4):
-        for move in plan_moves(fleet, USUAL):
-            kind = USUAL.accelerators[move.replica.accelerator]
-            assert len(move.layers) * USUAL.layer_mb < kind.memory_mb
+        for move in plan_moves(fleet, TYPICAL_MODEL):
+            kind = TYPICAL_MODEL.accelerators[move.replica.accelerator]
+            assert len(move.layers) * TYPICAL_MODEL.layer_mb < kind.memory_mb
         fleet = _apply(fleet)
     assert not _find_gaps(_list_held(fleet))
 
@@ -97,7 +97,7 @@
         else replica
         for replica in fleet
     ]
-    moves = plan_moves([*remaining, new], USUAL)
+    moves = plan_moves([*remaining, new], TYPICAL_MODEL)
     assert len(moves) == 1
     assert moves[0].replica.layers is None
     assert old.layers is not None
@@ -123,7 +123,7 @@
         make_replica('two', 22, 50),
         make_replica('three', 50, 80),
     ]
-    moves = plan_moves(fleet, USUAL)
+    moves = plan_moves(fleet, TYPICAL_MODEL)
     assert len(moves) == 1
     assert moves[0].layers in {LayerRange(0, 22), LayerRange(20, 50)}
 
@@ -165,7 +165,9 @@
     zone = [replica for replica in remaining if replica.zone == 'zone-a']
     lost = _find_gaps(_list_held(zone))
     assert len(lost) >= 20
-    moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
+    moves = {
+        move.replica.name: move for move in plan_moves(remaining, TYPICAL_MODEL)
+    }
     held = [
         moves[replica.name].layers if replica.name in moves else replica.layers
         for replica in zone
@@ -192,10 +194,12 @@
     remaining = [
         replica for replica in fleet if replica.name != 'zone-a-a100-0'
     ]
-    moves = {move.replica.name: move for move in plan_moves(remaining, USUAL)}
+    moves = {
+        move.replica.name: move for move in plan_moves(remaining, TYPICAL_MODEL)
+    }
     for move in moves.values():
-        kind = USUAL.accelerators[move.replica.accelerator]
-        capacity = estimate_capacity(USUAL, kind, move.layers)
+        kind = TYPICAL_MODEL.accelerators[move.replica.accelerator]
+        capacity = estimate_capacity(TYPICAL_MODEL, kind, move.layers)
         assert capacity >= 40 * 991
 
 
--- a/tests/core/fleet/test_returns.py
+++ b/tests/core/fleet/test_returns.py
@@ -7,20 +7,20 @@
 import itertools
 import random
 
-from ryelatch_core.fleet import ReturnPlan
+from ryelatch_core.fleet import RetryScheduler
 
 
-def _make_plan(places: int) -> ReturnPlan:
-    plan = ReturnPlan()
+def _make_plan(places: int) -> RetryScheduler:
+    plan = RetryScheduler()
     for number in range(places * 6):
-        plan.note_start(number / places)
+        plan.record_start(number / places)
     return plan
 
 
 def test_turns_come_at_the_pace_of_places() -> None:
     """Each refused client retries later than those refused before it."""
     plan = _make_plan(10)
-    turns = [plan.give_turn(6, 60, 0.5) for _ in range(30)]
+    turns = [plan.assign_delay(6, 60, 0.5) for _ in range(30)]
     gaps = [later - earlier for earlier, later in itertools.pairwise(turns)]
     assert min(gaps) * 4 > 1
     assert max(gaps) * 5 < 3
@@ -30,7 +30,7 @@
     """No delay exceeds a third of the time left; the later ones are spread."""
     plan = _make_plan(10)
     rng = random.Random(1)
-    turns = [plan.give_turn(6, 18, rng.random()) for _ in range(300)]
+    turns = [plan.assign_delay(6, 18, rng.random()) for _ in range(300)]
     assert max(turns) <= 6
     late = sorted(turns[100:])
     assert late[0] * 2 < 9
@@ -41,5 +41,5 @@
     """A client refused an hour after a surge gets a short delay."""
     plan = _make_plan(10)
     for _ in range(100):
-        plan.give_turn(6, 18, 0.5)
-    assert plan.give_turn(3600, 18, 0.5) <= 2
+        plan.assign_delay(6, 18, 0.5)
+    assert plan.assign_delay(3600, 18, 0.5) <= 2
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from core_fleet import USUAL, make_query, make_replica
-from ryelatch_core.fleet import LoadBook, LoadEstimate, choose_path
+from core_fleet import TYPICAL_MODEL, make_query, make_replica
+from ryelatch_core.fleet import LoadEstimate, LoadTracker, choose_path
 
 _NODES = 60
 _REQUESTS_PER_NODE = 5
@@ -18,7 +18,7 @@
 
 _LAYERS = 6
 _TOLERANCE = 0.01
-_SMALL = replace(USUAL, layers=_LAYERS)
+_SMALL = replace(TYPICAL_MODEL, layers=_LAYERS)
 _KINDS = ('a100', 'v100', 'v100', 'l4', 'l4', 'l4')
 _REPLICAS = [
     make_replica(f'r-{number}', 0, _LAYERS, 'zone-a', kind)
@@ -30,7 +30,7 @@
     """Send the waiting requests and count them by first replica."""
     sent: Counter[str] = Counter()
     for node in range(_NODES):
-        tracker = LoadBook()
+        tracker = LoadTracker()
         draw = random.Random(node).random
         for number in range(_REQUESTS_PER_NODE):
             now = number * 0.04
@@ -58,9 +58,9 @@
     assert sent['r-0'] > _NODES * _REQUESTS_PER_NODE * _MAX_RATIO
 
 
-def test_doubt_passes() -> None:
+def test_uncertainty_vanishes() -> None:
     """The uncertainty of a node vanishes after a while."""
-    tracker = LoadBook()
-    tracker.share_among(_NODES)
+    tracker = LoadTracker()
+    tracker.set_node_count(_NODES)
     assert tracker.estimate(10).uncertainty > 1 - _TOLERANCE
     assert tracker.estimate(40).uncertainty < _TOLERANCE
--- a/tests/core/fleet/test_step_factors.py
+++ b/tests/core/fleet/test_step_factors.py
@@ -5,7 +5,7 @@
 """
 
 from core_fleet import make_query, make_replica
-from ryelatch_core.fleet import PaceBook, choose_path
+from ryelatch_core.fleet import StepFactorTracker, choose_path
 
 _SLOW = 12.0
 _REPLICAS = [
@@ -44,7 +44,7 @@
 
 def test_slow_replica_is_trusted_again() -> None:
     """A replica is no longer slow once it reports so, or its report expires."""
-    tracker = PaceBook()
+    tracker = StepFactorTracker()
     assert tracker.note('a', _SLOW, 0)
     assert not tracker.note('a', _SLOW, 1)
     assert tracker.note('b', _SLOW, 1)
@@ -56,7 +56,7 @@
 
 def test_nonsense_of_a_pace_is_bounded() -> None:
     """No reported factor speeds a replica up, or makes its cost infinite."""
-    tracker = PaceBook()
+    tracker = StepFactorTracker()
     assert not tracker.note('a', -1, 0)
     assert not tracker.note('a', 0, 0)
     assert tracker.note('a', 1e300, 0)
--- a/tests/core/fleet/test_window.py
+++ b/tests/core/fleet/test_window.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryelatch_core.fleet import Windows
+from ryelatch_core.fleet import ConcurrencyWindows
 
 SLOTS = 96
 QUEUE = 48
@@ -72,7 +72,7 @@
 ) -> Result:
     """Simulate arrivals at one first replica."""
     rng = random.Random(seed)
-    nodes = [Windows(rng.random) for _ in shares]
+    nodes = [ConcurrencyWindows(rng.random) for _ in shares]
     first_replica, result = FirstReplica(), Result()
     sequence = itertools.count()
     events: list[tuple[float, int, str, int]] = [
@@ -84,7 +84,7 @@
     def start(at: float, arrived_at: float, node: int) -> None:
         first_replica.busy += 1
         first = at - arrived_at + READ_SECONDS
-        nodes[node].note_first('head', first, OBJECTIVE, at)
+        nodes[node].record_first_event('head', first, OBJECTIVE, at)
         result.in_time[int(at)] += first <= OBJECTIVE
         duration = ANSWER_SECONDS * rng.uniform(0.3, 1.7)
         heapq.heappush(events, (at + duration, next(sequence), 'end', node))
@@ -107,7 +107,7 @@
             nodes[node].add('head')
             first_replica.waiting.append((at, node))
         else:
-            nodes[node].note_full('head', at)
+            nodes[node].record_refusal('head', at)
             result.refused += 1
         taken = first_replica.busy + len(first_replica.waiting)
         result.max_requests[int(at)] = max(result.max_requests[int(at)], taken)
@@ -167,10 +167,10 @@
 
 def test_late_requests_leave_room_for_others() -> None:
     """New requests have priority over retried ones in a nearly full window."""
-    windows = Windows(random.Random(1).random)
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
-    windows.note_full('head', 1)
+    windows.record_refusal('head', 1)
     windows.remove('head')
     windows.remove('head')
     windows.remove('head')
@@ -181,9 +181,9 @@
 
 def test_requests_sent_together_shrink_once() -> None:
     """Late requests from before a window shrank don't shrink it again."""
-    windows = Windows(random.Random(1).random)
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(20):
         windows.add('head')
     for step in range(10):
-        windows.note_first('head', 1.0, OBJECTIVE, 1 + step / 100)
+        windows.record_first_event('head', 1.0, OBJECTIVE, 1 + step / 100)
     assert windows.read_limit('head') == pytest.approx(17)
--- a/tests/node/beliefs/test_lives.py
+++ b/tests/node/beliefs/test_lives.py
@@ -4,7 +4,7 @@
 
 from fake_clock import FakeClock
 from ryelatch_core.events import LineLog
-from ryelatch_core.fleet import LayerRange, Replica, name_life
+from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
@@ -25,7 +25,7 @@
     address: str = '10.0.0.1:80',
 ) -> Replica:
     return Replica(
-        name_life(entry, born),
+        name_incarnation(entry, born),
         'model',
         address,
         'zone-a',
--- a/tests/node/beliefs/test_missing.py
+++ b/tests/node/beliefs/test_missing.py
@@ -7,7 +7,7 @@
 
 from fake_clock import FakeClock
 from ryelatch_core.events import LineLog
-from ryelatch_core.fleet import LayerRange, Replica, name_life
+from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
@@ -116,7 +116,7 @@
     view, clock, offer = _make_view()
     view.remove('i-1', unanswered=99.9)
     view.learn(view.replicas['i-1'], None, 2000)
-    assert offer() == ['i-2', name_life('i-1', 2000)]
+    assert offer() == ['i-2', name_incarnation('i-1', 2000)]
     clock.now += 5
     assert offer() == ['i-2']
     view.drop_lapsed()
--- a/tests/node/relay/test_windows.py
+++ b/tests/node/relay/test_windows.py
@@ -6,7 +6,12 @@
 from typing import Any, cast
 
 from core_fleet import make_replica
-from ryelatch_core.fleet import LayerRange, LoadBook, Stage, Windows
+from ryelatch_core.fleet import (
+    ConcurrencyWindows,
+    LayerRange,
+    LoadTracker,
+    Stage,
+)
 from ryelatch_node.relay._progress import record_progress
 from ryelatch_node.relay._stream import LiveStream
 
@@ -26,12 +31,12 @@
 
 
 def _make_context() -> Any:
-    windows = Windows(random.Random(1).random)
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
     return SimpleNamespace(
         clock=SimpleNamespace(monotonic=lambda: 1.0),
-        load=LoadBook(),
+        load=LoadTracker(),
         windows=windows,
         paces=SimpleNamespace(check=lambda _: None),
     )
