--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
@@ -148,7 +148,7 @@
 def _order_zones(zones: Iterable[str], query: PathQuery) -> list[str]:
     """Order the zones at random, after the request's own zone."""
     return sorted(
-        zones, key=lambda name: (name != query.zone, query.draw(), name)
+        zones, key=lambda name: (name != query.zone, query.sample(), name)
     )
 
 
@@ -178,7 +178,7 @@
 ) -> _PartialPath | None:
     """Find the cheapest way through all layers."""
     layers = query.profile.layers
-    first_stage = query.head
+    first_stage = query.first_stage
     fixed = {first_stage.layers.end} if first_stage else set()
     boundaries = sorted(
         {0, layers}
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -71,14 +71,14 @@
     :param zone: where the request comes from.
     :param prompt: tokens of the prompt.
     :param answer: expected tokens of the answer.
-    :param draw: returns random numbers from 0 to 1.
+    :param sample: returns random numbers from 0 to 1.
     :param avoid: names of replicas not to use.
     :param local_tokens: tokens of this node's requests at each replica.
     :param load: estimated load of all nodes.
     :param excess: excess latency in seconds of paths through each replica.
-    :param paces: step-time factors that slow replicas have reported.
+    :param step_factors: step-time factors that slow replicas have reported.
     :param closed: names of replicas where no path may begin.
-    :param head: the stage that must come first, if any.
+    :param first_stage: the stage that must come first, if any.
     :param prefilled: names of replicas that have done the prefill already.
     :param crosses: whether the path may change zones in its middle.
     """
@@ -87,14 +87,14 @@
     zone: str
     prompt: int
     answer: int
-    draw: Callable[[], float]
+    sample: Callable[[], float]
     avoid: frozenset[str] = frozenset()
     local_tokens: Mapping[str, int] = field(default_factory=dict)
     load: LoadEstimate = NO_LOAD
     excess: Mapping[str, float] = field(default_factory=dict)
-    paces: Mapping[str, float] = field(default_factory=dict)
+    step_factors: Mapping[str, float] = field(default_factory=dict)
     closed: frozenset[str] = frozenset()
-    head: Stage | None = None
+    first_stage: Stage | None = None
     prefilled: frozenset[str] = frozenset()
     crosses: bool = True
 
@@ -142,7 +142,7 @@
         prefill = 0
         noise = 1
     late = query.excess.get(replica.name, 0) * EXCESS_WEIGHT / profile.layers
-    step_factor = query.paces.get(replica.name, 1)
+    step_factor = query.step_factors.get(replica.name, 1)
     return (
         step * query.answer + prefill
     ) * step_factor * crowding * noise + late
@@ -156,11 +156,13 @@
     speed. Without this, nodes that start together, with all clients that
     waited for them, would send everything to the same few replicas.
     """
-    noise = 1 + _JITTER * query.draw()
+    noise = 1 + _JITTER * query.sample()
     uncertainty = query.load.uncertainty
     if uncertainty < _MIN_UNCERTAINTY:
         return noise
-    return noise * (1 - uncertainty) - uncertainty * math.log(1 - query.draw())
+    return noise * (1 - uncertainty) - uncertainty * math.log(
+        1 - query.sample()
+    )
 
 
 def estimate_entry_cost(replica: Replica, query: PathQuery) -> float:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_step_factors.py
@@ -27,7 +27,7 @@
 
     _slow: dict[str, tuple[float, float]] = field(default_factory=dict)
 
-    def note(self, name: str, step_factor: float, now: float) -> bool:
+    def record_factor(self, name: str, step_factor: float, now: float) -> bool:
         """Record the step-time factor that a replica reported.
 
         :param step_factor: by which its steps take longer.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -65,12 +65,12 @@
     :param closing: set from the start of the shutdown on: the node reports
         that it is not ready, and its answers close their connections.
     :param refuses_streams: set once a new stream might outlast this process.
-    :param last_call: set once any new request might, so that all are refused.
+    :param refuses_all: set once any new request might, so that all are refused.
     """
 
     closing: bool = False
     refuses_streams: bool = False
-    last_call: bool = False
+    refuses_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
         # Without a list all layers seem to be missing, and the client would
         # get the Retry-After of a repair. The list comes within milliseconds.
         return Refusal(_UNAVAILABLE, 'no registry yet', LIST_RETRY_SECONDS)
-    if shutdown.last_call:
+    if shutdown.refuses_all:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
     scope, terms = received.scope, received.terms
     host = _read_host(scope)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -34,7 +34,7 @@
     :param target: path and query, byte for byte.
     :param account: name of its client account; empty if anonymous.
     :param arrived: when its headers were received, in monotonic seconds.
-    :param ends: deadline of its complete answer, in monotonic seconds.
+    :param deadline: deadline of its complete answer, in monotonic seconds.
     :param version: version of the configuration under which it was admitted.
     :param digest: hash of its content; equal for copies of the request.
     """
@@ -48,7 +48,7 @@
     service: str
     account: str
     arrived: float
-    ends: float
+    deadline: float
     version: int
     digest: str
 
@@ -66,8 +66,8 @@
     :param send: the ASGI callable that sends messages to the client.
     :param closing: whether the connection is closed after this answer.
     :param started: whether the answer's headers were sent to the client.
-    :param ended: whether the answer was sent completely.
-    :param left: whether the client has closed its connection.
+    :param finished: whether the answer was sent completely.
+    :param client_gone: whether the client has closed its connection.
     :param sends: how often the request was sent to an upstream.
     :param ran: runs that count against the attempts its route allows.
     :param status: HTTP status of the answer; 0 before it started.
@@ -81,8 +81,8 @@
     clock: Clock
     closing: bool = False
     started: bool = False
-    ended: bool = False
-    left: bool = False
+    finished: bool = False
+    client_gone: bool = False
     sends: int = 0
     ran: int = 0
     status: int = 0
@@ -125,7 +125,7 @@
             'more_body': more,
         }
         await self._send_message(message)
-        self.ended = not more
+        self.finished = not more
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
@@ -163,7 +163,7 @@
         await self.answer(status, headers, body)
 
     async def _send_message(self, message: Message) -> None:
-        if self.left:
+        if self.client_gone:
             raise ClientGone
         await self.send(message)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -152,9 +152,9 @@
         await asyncio.wait(
             (relaying, disconnect), return_when=asyncio.FIRST_COMPLETED
         )
-        if not relaying.done() and not exchange.ended:
+        if not relaying.done() and not exchange.finished:
             # A request without a client would take capacity from others.
-            exchange.left = True
+            exchange.client_gone = True
             relaying.cancel()
         await cancel_task(disconnect)
         with contextlib.suppress(asyncio.CancelledError, ClientGone):
@@ -166,7 +166,7 @@
         """Relay a request, and stop it at its deadline."""
         self._context.budget.earn()
         loop = asyncio.get_running_loop()
-        remaining = request.ends - self._context.clock.monotonic()
+        remaining = request.deadline - self._context.clock.monotonic()
         try:
             async with asyncio.timeout_at(loop.time() + remaining):
                 await self._dispatch(exchange, request)
@@ -200,9 +200,9 @@
         self, exchange: Exchange, request: AdmittedRequest
     ) -> None:
         seconds = self._context.clock.monotonic() - request.arrived
-        if exchange.left:
+        if exchange.client_gone:
             kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
-        elif exchange.ended:
+        elif exchange.finished:
             kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
             kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -203,7 +203,7 @@
         service=request.service,
         digest=request.digest,
         attempt=exchange.sends,
-        left=round_seconds(request.ends - context.clock.monotonic()),
+        left=round_seconds(request.deadline - context.clock.monotonic()),
         version=request.version,
         last_event=progress.splitter.last,
         avoided=len(context.replicas.list_suspects()),
@@ -225,7 +225,7 @@
     request = stream.request
     dispatch = Dispatch(
         stream.first_replica.entry,
-        request.ends - context.clock.monotonic(),
+        request.deadline - context.clock.monotonic(),
         request.account,
         stream.path,
         progress.splitter.last,
@@ -355,7 +355,7 @@
     """Estimate after how many seconds a refused client should retry."""
     now = context.clock.monotonic()
     delay = context.returns.assign_delay(
-        now, request.ends - now, context.draw()
+        now, request.deadline - now, context.draw()
     )
     return max(
         delay, find_retry_after(context, list_first_replicas(context, request))
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
@@ -110,7 +110,7 @@
         prefilled = frozenset(stage.replica.name for stage in stream.path)
         fixed = replace(
             query,
-            head=stream.path[0],
+            first_stage=stream.path[0],
             prefilled=prefilled - lost,
             crosses=crosses,
         )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
@@ -46,7 +46,7 @@
     costs: UsageTracker = field(default_factory=UsageTracker)
     load: LoadTracker = field(default_factory=LoadTracker)
     crash_checks: CrashChecks = field(init=False)
-    paces: SlowReplicaChecks = field(init=False)
+    slow_replicas: SlowReplicaChecks = field(init=False)
     windows: ConcurrencyWindows = field(init=False)
     accounts: AccountTracker = field(default_factory=AccountTracker)
     returns: RetryScheduler = field(default_factory=RetryScheduler)
@@ -57,7 +57,7 @@
     def __post_init__(self) -> None:
         """Create the members that depend on others."""
         self.crash_checks = CrashChecks(self.orders)
-        self.paces = SlowReplicaChecks(
+        self.slow_replicas = SlowReplicaChecks(
             self.log, self.clock, self.orders, self.throttle.is_throttled
         )
         self.windows = ConcurrencyWindows(self.draw)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -179,7 +179,9 @@
         return False
     if not exchange.sends:
         return True
-    return context.clock.monotonic() < request.ends and context.budget.spend()
+    return (
+        context.clock.monotonic() < request.deadline and context.budget.spend()
+    )
 
 
 async def _try_replica(
@@ -194,7 +196,7 @@
     :raises SendError: if no usable answer came.
     """
     now = context.clock.monotonic()
-    left = request.ends - now
+    left = request.deadline - now
     dispatch = Dispatch(replica.entry, left, request.account)
     exchange.sends += 1
     exchange.record(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -114,7 +114,7 @@
         delay = stream.progress - stream.sent
         context.load.record_first_event(stream.path, delay, stream.progress)
         if delay > stream.request.route.objective * LATE_FRACTION:
-            context.paces.check(stream.path)
+            context.slow_replicas.check(stream.path)
         if not stream.delayed_by_loss:
             # A first event that was delayed by a lost replica doesn't show
             # how full the first replica is.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
@@ -34,12 +34,12 @@
         zone=context.startup.zone,
         prompt=request.terms.prompt,
         answer=estimate_answer(request, profile.typical_answer),
-        draw=context.draw,
+        sample=context.draw,
         avoid=avoid,
         local_tokens=context.load.tokens,
         load=context.load.estimate(now),
         excess=context.load.list_excess(now),
-        paces=context.paces.tracker.list_slow(now),
+        step_factors=context.slow_replicas.tracker.list_slow(now),
     )
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -183,7 +183,7 @@
             self._ingress.stop_state.refuses_streams = (
                 elapsed > grace * STREAM_FRACTION
             )
-            self._ingress.stop_state.last_call = elapsed > last_call
+            self._ingress.stop_state.refuses_all = elapsed > last_call
             busy = self._ingress.open_requests
             idle = 0.0 if busy else idle + _POLL_SECONDS
             if elapsed > NOTICE_SECONDS and idle > QUIET_SECONDS:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -84,7 +84,7 @@
         for tracker in (
             context.load,
             context.windows,
-            context.paces.tracker,
+            context.slow_replicas.tracker,
             context.failures,
             context.durations,
             context.throttle,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
@@ -80,7 +80,7 @@
         if report is None:
             return
         now = self.clock.monotonic()
-        if self.tracker.note(replica.name, report.pace, now):
+        if self.tracker.record_factor(replica.name, report.pace, now):
             self.log.record(
                 catalogue.REPLICA_SLOW,
                 replica=replica.name,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -125,7 +125,7 @@
         await cancel_task(self._ticker)
         await self.prober.stop()
         await self._path_checks.stop()
-        await self.context.paces.stop()
+        await self.context.slow_replicas.stop()
         await self._tasks.stop()
 
     async def _run(self) -> None:
@@ -160,7 +160,7 @@
         if pause > silence_limit * self._path_checks.threshold_factor:
             self._path_checks.check(stream.path)
         if pause > max(silence_limit, stream.request.route.gap * SLOW_FRACTION):
-            self.context.paces.check(stream.path)
+            self.context.slow_replicas.check(stream.path)
         if pause > _find_stall_limit(stream):
             _record_stall(stream, pause)
             self._request_report(stream.first_replica, now)
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -120,7 +120,7 @@
         make_replica('tail', 45, 80),
     ]
     first = Stage(head, LayerRange(0, 8))
-    query = make_query(head=first, avoid=frozenset(('lost',)))
+    query = make_query(first_stage=first, avoid=frozenset(('lost',)))
     path = choose_path([head, faster, lost, *spares], query)
     assert runs_each_layer_once(path)
     assert path[0] == first
@@ -140,7 +140,7 @@
     rng = random.Random(3)
     for _ in range(40):
         query = make_query(
-            draw=rng.random,
+            sample=rng.random,
             local_tokens=tracker.tokens,
             load=tracker.estimate(0),
         )
@@ -189,7 +189,7 @@
             end, path = ends.pop(0)
             tracker.remove(path, 991, end)
         query = make_query(
-            draw=rng.random,
+            sample=rng.random,
             local_tokens=tracker.tokens,
             load=tracker.estimate(now),
         )
@@ -218,7 +218,7 @@
     profile = dataclasses.replace(TYPICAL_MODEL, sequence_ms=0)
     for taken, chosen in ((40, 'fast'), (96, 'slow')):
         load = LoadEstimate({'fast': taken}, {})
-        query = make_query(draw=float, load=load, profile=profile)
+        query = make_query(sample=float, load=load, profile=profile)
         assert choose_path(offered, query)[0].replica.name == chosen
 
 
@@ -257,7 +257,7 @@
         samples.append(0.5)
         return samples[-1]
 
-    path = choose_path(offered, make_query(zone='zone-05', draw=draw))
+    path = choose_path(offered, make_query(zone='zone-05', sample=draw))
     assert {stage.replica.zone for stage in path} == {'zone-05'}
     # One sample per zone for their order, one per replica searched.
     assert len(samples) == 13 + SEARCHED_ZONES * 4
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -37,7 +37,7 @@
             estimate = tracker.estimate(now)
             if not use_uncertainty:
                 estimate = LoadEstimate(estimate.requests, estimate.tokens)
-            query = make_query(profile=_SMALL, draw=draw, load=estimate)
+            query = make_query(profile=_SMALL, sample=draw, load=estimate)
             path = choose_path(_REPLICAS, query)
             tracker.add(path, 991, now)
             sent[path[0].replica.name] += 1
--- a/tests/core/fleet/test_step_factors.py
+++ b/tests/core/fleet/test_step_factors.py
@@ -18,8 +18,8 @@
 ]
 
 
-def _find_tail(paces: dict[str, float], seed: int) -> str:
-    path = choose_path(_REPLICAS, make_query(seed, paces=paces))
+def _find_tail(step_factors: dict[str, float], seed: int) -> str:
+    path = choose_path(_REPLICAS, make_query(seed, step_factors=step_factors))
     return path[1].replica.name
 
 
@@ -36,7 +36,7 @@
 
 def test_slow_replica_is_used_where_no_other_is() -> None:
     """A slow path is better than none."""
-    query = make_query(paces={'last': _SLOW})
+    query = make_query(step_factors={'last': _SLOW})
     assert any(
         stage.replica.name == 'last' for stage in choose_path(_REPLICAS, query)
     )
@@ -45,11 +45,11 @@
 def test_slow_replica_is_trusted_again() -> None:
     """A replica is no longer slow once it reports so, or its report expires."""
     tracker = StepFactorTracker()
-    assert tracker.note('a', _SLOW, 0)
-    assert not tracker.note('a', _SLOW, 1)
-    assert tracker.note('b', _SLOW, 1)
+    assert tracker.record_factor('a', _SLOW, 0)
+    assert not tracker.record_factor('a', _SLOW, 1)
+    assert tracker.record_factor('b', _SLOW, 1)
     assert tracker.list_slow(2) == {'a': _SLOW, 'b': _SLOW}
-    assert not tracker.note('a', 1, 2)
+    assert not tracker.record_factor('a', 1, 2)
     assert tracker.list_slow(2) == {'b': _SLOW}
     assert not tracker.list_slow(10)
 
@@ -57,7 +57,7 @@
 def test_nonsense_of_a_pace_is_bounded() -> None:
     """No reported factor speeds a replica up, or makes its cost infinite."""
     tracker = StepFactorTracker()
-    assert not tracker.note('a', -1, 0)
-    assert not tracker.note('a', 0, 0)
-    assert tracker.note('a', 1e300, 0)
+    assert not tracker.record_factor('a', -1, 0)
+    assert not tracker.record_factor('a', 0, 0)
+    assert tracker.record_factor('a', 1e300, 0)
     assert tracker.list_slow(1)['a'] < 1000
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -68,7 +68,7 @@
         'zone': 'zone-a',
         'prompt': 775,
         'answer': 216,
-        'draw': rng.random,
+        'sample': rng.random,
         **changes,
     }
     return PathQuery(**fields)  # type: ignore[arg-type]
