--- a/packages/ryelatch-cli/src/ryelatch_cli/_acceptance.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_acceptance.py
@@ -1,4 +1,4 @@
-"""How an edit of the settings becomes the accepted revision."""
+"""Acceptance of an edit of the settings as the newest revision."""
 
 import asyncio
 import time
@@ -23,16 +23,18 @@
 )
 from ryelatch_node.store import Store, StoreError
 
-_TRIES = 12
-_PAUSE_SECONDS = 0.25
+_MAX_ATTEMPTS = 12
+_RETRY_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
 class Edit:
-    """What an operator wants.
+    """An edit that an operator submits.
 
+    :param settings: the edited settings.
     :param base: the revision that was edited; ``None`` for the newest.
-    :param mark: stays the same over all tries to have this edit accepted.
+    :param message: reason of the edit, for the history.
+    :param mark: identifies the edit, the same in all attempts to write it.
     """
 
     settings: Settings
@@ -43,10 +45,10 @@
 
 
 @dataclass(frozen=True)
-class StoreSilent:
-    """The platform did not answer.
+class StoreUnavailable:
+    """The store did not answer.
 
-    :param mark: of the edit, if it may have been accepted all the same.
+    :param mark: mark of the edit, if it may have been accepted nevertheless.
     """
 
     mark: str = ''
@@ -54,24 +56,27 @@
 
 @dataclass(frozen=True)
 class UnknownBase:
-    """The history has no such revision."""
+    """The history does not hold the revision that was edited."""
 
     revision: int
 
 
 @dataclass(frozen=True)
 class Root:
-    """The root object as read."""
+    """The root object of the settings, as it was read.
+
+    :param version: of the object in the store; empty if there is none yet.
+    """
 
     index: Index
     version: str
 
 
-Refusal = Conflict | StoreSilent | UnknownBase
+Refusal = Conflict | StoreUnavailable | UnknownBase
 
 
-async def read_root(store: Store) -> Result[Root, StoreSilent]:
-    """Read the newest revision; revision 0 before there is any."""
+async def read_root(store: Store) -> Result[Root, StoreUnavailable]:
+    """Read the newest revision; revision 0 if none was accepted yet."""
     found = await store.get(ROOT_KEY)
     if found.is_ok():
         entry = found.unwrap()
@@ -79,11 +84,11 @@
         return Ok(Root(index, entry.version))
     if found.unwrap_err() is StoreError.MISSING:
         return Ok(Root(Index(0, {}), ''))
-    return Err(StoreSilent())
+    return Err(StoreUnavailable())
 
 
 async def read_bundle(store: Store, index: Index) -> Bundle | None:
-    """Read all parts of a revision."""
+    """Read all parts of a revision; ``None`` if one can't be read."""
     digests = sorted(set(index.parts.values()))
     found = await asyncio.gather(
         *(store.get(blob_key(digest)) for digest in digests)
@@ -95,14 +100,14 @@
 
 
 async def read_settings(store: Store, index: Index) -> Settings | None:
-    """Read the settings of a revision."""
+    """Read the settings of a revision; ``None`` if they can't be read."""
     bundle = await read_bundle(store, index)
     joined = join_bundle(bundle) if bundle else None
     return joined.ok() if joined else None
 
 
 async def list_history(store: Store, newest: Index, count: int) -> list[Index]:
-    """List revisions from the newest back."""
+    """List up to ``count`` revisions, the newest first."""
     history = [newest]
     while len(history) < count and history[-1].parent:
         found = await store.get(blob_key(history[-1].parent))
@@ -117,51 +122,52 @@
     newest: Index,
     revision: int,
 ) -> Index | None:
-    """Find a revision in the history."""
-    behind = newest.revision - revision + 1
-    history = await list_history(store, newest, max(1, behind))
-    fitting = [index for index in history if index.revision == revision]
-    return fitting[0] if fitting else None
+    """Find a revision in the history; ``None`` if it isn't there."""
+    depth = newest.revision - revision + 1
+    history = await list_history(store, newest, max(1, depth))
+    matching = [index for index in history if index.revision == revision]
+    return matching[0] if matching else None
 
 
 async def accept(store: Store, edit: Edit) -> Result[Index, Refusal]:
-    """Make an edit the newest revision, or tell what stands against it.
+    """Make an edit the newest revision, or return why it is refused.
 
-    The root object is replaced under the condition that it is still as read;
-    so of two edits of one base a single one wins, and the other is rebased or
-    refused. A write whose answer is lost is settled by looking for its mark
-    in the history, where it stays even if others build on it.
+    The root object is replaced only if it hasn't changed since it was read.
+    So of two concurrent edits of one base, one is written first, and the
+    other is rebased or refused. If the response to a write is lost, the mark
+    of the edit is looked up in the history, which holds it even if later
+    revisions were accepted on top.
     """
     parts = split_settings(edit.settings)
     mine = {path: digest_blob(blob) for path, blob in parts.items()}
     for blob in parts.values():
         if not await _put_blob(store, blob):
-            return Err(StoreSilent())
-    for _ in range(_TRIES):
+            return Err(StoreUnavailable())
+    for _ in range(_MAX_ATTEMPTS):
         found = await read_root(store)
         if found.is_err():
-            await asyncio.sleep(_PAUSE_SECONDS)
+            await asyncio.sleep(_RETRY_SECONDS)
             continue
         root = found.unwrap()
-        own = await _find_mark(store, root.index, edit.mark)
-        if own is not None:
-            return Ok(own)
-        planned = await _plan(store, edit, mine, root.index)
+        accepted = await _find_mark(store, root.index, edit.mark)
+        if accepted is not None:
+            return Ok(accepted)
+        planned = await _plan_revision(store, edit, mine, root.index)
         if planned.is_err():
             return Err(planned.unwrap_err())
         index = planned.unwrap()
-        if await _move_root(store, root, index):
+        if await _replace_root(store, root, index):
             return Ok(index)
-    return Err(StoreSilent(edit.mark))
+    return Err(StoreUnavailable(edit.mark))
 
 
-async def _plan(
+async def _plan_revision(
     store: Store,
     edit: Edit,
     mine: Mapping[str, str],
     newest: Index,
 ) -> Result[Index, Refusal]:
-    """Plan the next revision on top of the newest one."""
+    """Rebase an edit on the newest revision, as the index of the next one."""
     base: Index | None = newest
     if edit.base is not None and edit.base != newest.revision:
         base = await find_revision(store, newest, edit.base)
@@ -185,12 +191,12 @@
 
 
 async def _find_mark(store: Store, newest: Index, mark: str) -> Index | None:
-    history = await list_history(store, newest, _TRIES)
-    own = [index for index in history if index.mark == mark]
-    return own[0] if own else None
+    history = await list_history(store, newest, _MAX_ATTEMPTS)
+    accepted = [index for index in history if index.mark == mark]
+    return accepted[0] if accepted else None
 
 
-async def _move_root(store: Store, root: Root, index: Index) -> bool:
+async def _replace_root(store: Store, root: Root, index: Index) -> bool:
     if root.index.revision and not await _put_blob(
         store, msgspec.msgpack.encode(root.index)
     ):
@@ -204,11 +210,11 @@
 
 
 async def _put_blob(store: Store, blob: bytes) -> bool:
-    """Store a content under its hash; there already is as good."""
+    """Store a blob under its hash; an existing one is a success."""
     key = blob_key(digest_blob(blob))
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         written = await store.create(key, blob)
         if written.is_ok() or written.unwrap_err() is StoreError.CONFLICT:
             return True
-        await asyncio.sleep(_PAUSE_SECONDS)
+        await asyncio.sleep(_RETRY_SECONDS)
     return False
--- a/packages/ryelatch-node/src/ryelatch_node/front/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/__init__.py
@@ -1,5 +1,5 @@
-"""What callers and operators speak to: HTTP."""
+"""HTTP interface of a node, for clients and operators."""
 
-from ryelatch_node.front._service import Front, setup
+from ryelatch_node.front._service import HttpServer, setup
 
-__all__ = ['Front', 'setup']
+__all__ = ['HttpServer', 'setup']
--- a/packages/ryelatch-node/src/ryelatch_node/front/_admin.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_admin.py
@@ -1,4 +1,4 @@
-"""What operators ask of a node."""
+"""Endpoints of a node for operators."""
 
 import signal
 from dataclasses import asdict
@@ -20,7 +20,7 @@
 
 
 def show_status(app: App) -> Endpoint:
-    """Make the endpoint that tells what this node does and knows."""
+    """Make the endpoint that reports the state of this node."""
 
     async def answer(request: Request) -> Response:
         check_operator(app, request)
@@ -46,19 +46,23 @@
 
 
 def show_timeline(app: App) -> Endpoint:
-    """Make the endpoint that lists events, by field if any are given."""
+    """Make the endpoint that lists events.
+
+    Each query parameter is a field and the value that an event must have
+    there to be listed.
+    """
 
     async def answer(request: Request) -> Response:
         check_operator(app, request)
-        wanted = dict(request.query_params)
-        events = app.find('timeline', Timeline).list_events(**wanted)
+        filters = dict(request.query_params)
+        events = app.find('timeline', Timeline).list_events(**filters)
         return JSONResponse([asdict(event) for event in events])
 
     return answer
 
 
 def drain_node(app: App) -> Endpoint:
-    """Make the endpoint that begins a planned stop of this node."""
+    """Make the endpoint that begins a planned shutdown of this node."""
 
     async def answer(request: Request) -> Response:
         check_operator(app, request)
--- a/packages/ryelatch-node/src/ryelatch_node/front/_body.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_body.py
@@ -1,4 +1,4 @@
-"""Reading of what a caller sends, within bounds."""
+"""Limits on the size of requests and on the time to receive them."""
 
 import asyncio
 from http import HTTPStatus
@@ -7,50 +7,53 @@
 
 from ryelatch_node.front._errors import refuse
 
-MAX_BODY = 2_097_152
-MAX_HEADERS = 32_768
-BODY_SECONDS = 10.0
+MAX_BODY_BYTES = 2_097_152
+MAX_HEADERS_BYTES = 32_768
+MAX_BODY_SECONDS = 10.0
 
 
 def check_headers(request: Request) -> None:
-    """Refuse a request whose headers are larger than any client needs."""
+    """Refuse a request whose headers are too large.
+
+    :raises CallerError: with 431 if they exceed ``MAX_HEADERS_BYTES``.
+    """
     size = sum(len(name) + len(text) for name, text in request.headers.raw)
-    if size > MAX_HEADERS:
+    if size > MAX_HEADERS_BYTES:
         raise refuse(
             HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
             'headers_too_large',
-            f'At most {MAX_HEADERS} bytes.',
+            f'At most {MAX_HEADERS_BYTES} bytes.',
         )
 
 
 async def read_body(request: Request) -> bytes:
-    """Read a body whole.
+    """Read the complete body of a request.
 
-    A caller that sends a byte a minute holds a connection and its memory;
-    it shows as a node full of requests that do nothing. The whole body has
-    to come within a bounded time.
+    The time is limited, because a client that sends one byte a minute
+    occupies a connection and memory: without the limit, such clients fill a
+    node with idle requests.
 
-    :raises CallerError: if it is too large, too slow, or cut off.
+    :raises CallerError: if the body is too large, too slow or incomplete.
     """
-    chunks = bytearray()
+    body = bytearray()
     try:
-        async with asyncio.timeout(BODY_SECONDS):
+        async with asyncio.timeout(MAX_BODY_SECONDS):
             async for chunk in request.stream():
-                chunks += chunk
-                if len(chunks) > MAX_BODY:
+                body += chunk
+                if len(body) > MAX_BODY_BYTES:
                     raise refuse(
                         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                         'body_too_large',
-                        f'At most {MAX_BODY} bytes.',
+                        f'At most {MAX_BODY_BYTES} bytes.',
                     )
     except TimeoutError:
         raise refuse(
             HTTPStatus.REQUEST_TIMEOUT,
             'body_too_slow',
-            f'The body took over {BODY_SECONDS} s.',
+            f'The body took over {MAX_BODY_SECONDS} s.',
         ) from None
     except ClientDisconnect:
         raise refuse(
             HTTPStatus.BAD_REQUEST, 'body_cut_off', 'The body is incomplete.'
         ) from None
-    return bytes(chunks)
+    return bytes(body)
--- a/packages/ryelatch-node/src/ryelatch_node/front/_caller.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_caller.py
@@ -1,4 +1,4 @@
-"""Who calls: keys of client accounts and operators."""
+"""Authentication of client accounts and operators by their keys."""
 
 import hmac
 from http import HTTPStatus
@@ -16,15 +16,15 @@
 
 
 def find_account(app: App, request: Request) -> AccountEntry:
-    """Find the client account that a request's key belongs to.
+    """Find the client account that the key of a request belongs to.
 
-    :raises CallerError: with 401 if there is none.
+    :raises CallerError: with 401 if no account has this key.
     """
     check_headers(request)
     directory = app.find('settings', SettingsHolder).directory
     account = directory.by_key.get(hash_key(_read_key(request)))
     if account is None:
-        _count(app, request, 'unknown-key')
+        _record_refusal(app, request, 'unknown-key')
         raise refuse(
             HTTPStatus.UNAUTHORIZED,
             'invalid_api_key',
@@ -34,15 +34,15 @@
 
 
 def check_operator(app: App, request: Request) -> None:
-    """Refuse a request that has no operator's key.
+    """Refuse a request without the key of an operator.
 
-    :raises CallerError: with 401.
+    :raises CallerError: with 401 if the key is missing or unknown.
     """
     check_headers(request)
-    given = hash_key(_read_key(request))
-    known = app.find('startup', Startup).operator_keys
-    if not any(hmac.compare_digest(given, key) for key in known):
-        _count(app, request, 'not-an-operator')
+    key_hash = hash_key(_read_key(request))
+    operator_hashes = app.find('startup', Startup).operator_keys
+    if not any(hmac.compare_digest(key_hash, key) for key in operator_hashes):
+        _record_refusal(app, request, 'not-an-operator')
         raise refuse(
             HTTPStatus.UNAUTHORIZED, 'not_an_operator', 'No operator has it.'
         )
@@ -55,7 +55,7 @@
     return ''
 
 
-def _count(app: App, request: Request, reason: str) -> None:
+def _record_refusal(app: App, request: Request, reason: str) -> None:
     app.find('timeline', Timeline).record(
         catalogue.CALLER_REFUSED, reason=reason, path=request.url.path
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_errors.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_errors.py
@@ -1,4 +1,4 @@
-"""Final answers that are errors, in the shape callers' libraries know."""
+"""Error responses, in the format that clients' libraries parse."""
 
 import math
 from collections.abc import Mapping
@@ -10,9 +10,9 @@
 
 
 class CallerError(Exception):
-    """A request that is answered with an error.
+    """Raised to answer a request with an error.
 
-    :param failure: what the caller is told.
+    :param failure: what the response reports to the client.
     """
 
     def __init__(self, failure: Failure) -> None:
@@ -21,12 +21,12 @@
 
 
 def refuse(status: int, code: str, message: str) -> CallerError:
-    """Make the error for a request that was wrong, and so was not run."""
+    """Make the error for an invalid request, which was not run."""
     return CallerError(Failure(status, code, message, Outcome.NOT_RUN))
 
 
 def encode_failure(failure: Failure) -> bytes:
-    """Encode an error body."""
+    """Encode the body of an error response as JSON."""
     return msgspec.json.encode(
         {
             'error': {
@@ -44,13 +44,13 @@
     failure: Failure,
     headers: Mapping[str, str],
 ) -> Response:
-    """Answer with an error, and with when to come back if that may help."""
-    extra = dict(headers) | {OUTCOME_HEADER: failure.outcome.value}
+    """Make an error response, with ``Retry-After`` if a retry may succeed."""
+    all_headers = dict(headers) | {OUTCOME_HEADER: failure.outcome.value}
     if failure.retry_after is not None:
-        extra['retry-after'] = str(math.ceil(failure.retry_after))
+        all_headers['retry-after'] = str(math.ceil(failure.retry_after))
     return Response(
         encode_failure(failure),
         failure.status,
-        extra,
+        all_headers,
         media_type='application/json',
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_model.py
@@ -1,4 +1,4 @@
-"""Requests to a model, from the body to the last token."""
+"""Endpoints for requests to models."""
 
 import asyncio
 import contextlib
@@ -29,10 +29,10 @@
 from ryelatch_node.front._errors import CallerError
 from ryelatch_node.front._meter import Meter
 
-_PROMPT_COST = 0.1
+_PROMPT_TOKEN_COST = 0.1
 _DISCONNECT = 'http.disconnect'
-_GONE = Failure(
-    # Nobody reads it.
+_CLIENT_GONE = Failure(
+    # Not delivered: the client has disconnected.
     HTTPStatus.REQUEST_TIMEOUT,
     'caller_gone',
     'The caller closed its connection.',
@@ -42,8 +42,11 @@
 
 
 @dataclass(frozen=True)
-class _Running:
-    """An admitted request and what has to be given back at its end."""
+class _RunningRequest:
+    """An admitted request, with what is released when it finishes.
+
+    :param started: monotonic time before its admission, in seconds.
+    """
 
     order: Order
     answer: Answer
@@ -52,16 +55,19 @@
 
 
 def estimate_work(prompt: int, generated: int) -> float:
-    """Estimate what a request costs, in generated tokens.
+    """Estimate the cost of a request, in generated tokens.
+
+    Engines process the tokens of a prompt in batches, so one of them costs
+    about a tenth of a generated token.
 
-    Engines run the positions of a prompt in batches, which costs about a
-    tenth of a position generated.
+    :param prompt: tokens of the prompt.
+    :param generated: tokens of the answer.
     """
-    return prompt * _PROMPT_COST + generated
+    return prompt * _PROMPT_TOKEN_COST + generated
 
 
 def serve_model(app: App, shape: replies.Shape) -> Endpoint:
-    """Make the endpoint of one of the two interfaces."""
+    """Make the endpoint for chat completions or for text completions."""
 
     async def complete(request: Request) -> Response:
         chat = shape is replies.CHAT
@@ -79,7 +85,7 @@
         started = app.clock.monotonic()
         work = estimate_work(len(order.prompt), order.max_tokens)
         admission = app.find('admission', Admission)
-        admitted = await _unless_gone(
+        admitted = await _await_unless_disconnected(
             request, admission.admit(order.name, account, work)
         )
         if admitted.is_err():
@@ -92,7 +98,7 @@
             model=order.name,
         )
         answer = app.find('answers', Answers).open(order)
-        running = _Running(order, answer, admitted.unwrap(), started)
+        running = _RunningRequest(order, answer, admitted.unwrap(), started)
         if prompt.stream:
             return await _stream(app, shape, running, usage=prompt.wants_usage)
         return await _collect(app, shape, running, request)
@@ -124,23 +130,30 @@
     return answer
 
 
-async def _unless_gone(request: Request, work: Coroutine[Any, Any, Any]) -> Any:
-    """Wait for a result, or end the wait when the caller has gone."""
+async def _await_unless_disconnected(
+    request: Request, work: Coroutine[Any, Any, Any]
+) -> Any:
+    """Wait for a result, and cancel the work if the client disconnects.
+
+    :raises CallerError: if the client has disconnected.
+    """
     task = asyncio.ensure_future(work)
-    gone = asyncio.ensure_future(_wait_gone(request))
+    disconnect = asyncio.ensure_future(_wait_for_disconnect(request))
     try:
-        await asyncio.wait({task, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(
+            {task, disconnect}, return_when=asyncio.FIRST_COMPLETED
+        )
         if not task.done():
-            raise CallerError(_GONE)
+            raise CallerError(_CLIENT_GONE)
         return task.result()
     finally:
-        for waiting in (task, gone):
-            waiting.cancel()
+        for pending in (task, disconnect):
+            pending.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await waiting
+                await pending
 
 
-async def _wait_gone(request: Request) -> None:
+async def _wait_for_disconnect(request: Request) -> None:
     message = await request.receive()
     while message['type'] != _DISCONNECT:
         message = await request.receive()
@@ -149,19 +162,19 @@
 async def _collect(
     app: App,
     shape: replies.Shape,
-    running: _Running,
+    running: _RunningRequest,
     request: Request,
 ) -> Response:
-    """Answer in one piece."""
+    """Answer with the complete text in one response."""
     outcome = Outcome.UNKNOWN
     try:
-        await _unless_gone(request, _read_all(running))
+        await _await_unless_disconnected(request, _read_all(running))
         outcome = Outcome.COMPLETE
     except AnswerError as error:
         outcome = error.failure.outcome
         raise CallerError(error.failure) from error
     finally:
-        _end(app, running, outcome)
+        _finish(app, running, outcome)
     reply = replies.build_reply(shape, running.answer, running.order.name)
     headers = {
         OUTCOME_HEADER: outcome.value,
@@ -174,16 +187,20 @@
     )
 
 
-async def _read_all(running: _Running) -> None:
-    async with _bound(running.order.deadline):
-        fresh = await running.answer.read()
-        while fresh:
-            fresh = await running.answer.read()
+async def _read_all(running: _RunningRequest) -> None:
+    async with _enforce_deadline(running.order.deadline):
+        tokens = await running.answer.read()
+        while tokens:
+            tokens = await running.answer.read()
 
 
 @contextlib.asynccontextmanager
-async def _bound(seconds: float) -> AsyncIterator[None]:
-    """Turn a passed deadline into the answer that the caller gets."""
+async def _enforce_deadline(seconds: float) -> AsyncIterator[None]:
+    """Raise the failure that the client receives if a deadline passes.
+
+    :param seconds: until the deadline.
+    :raises AnswerError: with 504 when it passes.
+    """
     try:
         async with asyncio.timeout(seconds):
             yield
@@ -203,62 +220,65 @@
 async def _stream(
     app: App,
     shape: replies.Shape,
-    running: _Running,
+    running: _RunningRequest,
     *,
     usage: bool,
 ) -> Response:
-    """Answer token by token.
+    """Answer with a stream of server-sent events.
 
-    The response starts with the first tokens, so that what fails before has
-    its own status.
+    The response starts when the first tokens are available, so that an
+    earlier failure has an HTTP status of its own.
     """
     try:
-        async with _bound(running.order.deadline):
-            first = await running.answer.read()
+        async with _enforce_deadline(running.order.deadline):
+            first_tokens = await running.answer.read()
     except asyncio.CancelledError:
-        _end(app, running, Outcome.UNKNOWN)
+        _finish(app, running, Outcome.UNKNOWN)
         raise
     except AnswerError as error:
-        _end(app, running, error.failure.outcome)
+        _finish(app, running, error.failure.outcome)
         raise CallerError(error.failure) from error
     elapsed = app.clock.monotonic() - running.started
-    app.find('meter', Meter).note_first(elapsed)
+    app.find('meter', Meter).record_first_token(elapsed)
     writer = replies.ChunkWriter(shape, running.answer, running.order.name)
     return replies.EventStream(
-        _generate(app, running, writer, first, usage=usage),
+        _generate(app, running, writer, first_tokens, usage=usage),
         {REQUEST_HEADER: running.order.request, 'cache-control': 'no-cache'},
-        lambda: _drop(app, running),
+        lambda: _close_abandoned(app, running),
     )
 
 
 async def _generate(
     app: App,
-    running: _Running,
+    running: _RunningRequest,
     writer: replies.ChunkWriter,
-    fresh: list[int],
+    tokens: list[int],
     *,
     usage: bool,
 ) -> AsyncGenerator[bytes, None]:
-    """Write the events of an answer whose first tokens are there."""
+    """Yield the events of an answer.
+
+    :param tokens: the first tokens, which have been read already.
+    """
     outcome = Outcome.UNKNOWN
-    lead = writer.write_start()
+    opening = writer.write_start()
     try:
-        async with _bound(running.order.deadline):
-            while fresh:
-                yield lead + writer.write_tokens(fresh)
-                lead = b''
-                fresh = await running.answer.read()
-        yield lead + writer.write_end(usage=usage)
+        async with _enforce_deadline(running.order.deadline):
+            while tokens:
+                yield opening + writer.write_tokens(tokens)
+                opening = b''
+                tokens = await running.answer.read()
+        yield opening + writer.write_end(usage=usage)
         outcome = Outcome.COMPLETE
     except AnswerError as error:
         outcome = error.failure.outcome
         yield writer.write_failure(error)
     finally:
-        _end(app, running, outcome)
+        _finish(app, running, outcome)
 
 
-def _drop(app: App, running: _Running) -> None:
-    """End the work of a caller that is gone."""
+def _close_abandoned(app: App, running: _RunningRequest) -> None:
+    """Stop generating for a client that has disconnected."""
     if not running.answer.ended:
         app.find('timeline', Timeline).record(
             catalogue.CALLER_GONE, request=running.order.request
@@ -266,8 +286,8 @@
         app.find('answers', Answers).close(running.answer)
 
 
-def _end(app: App, running: _Running, outcome: Outcome) -> None:
-    """Give back what the request held and record its one outcome."""
+def _finish(app: App, running: _RunningRequest, outcome: Outcome) -> None:
+    """Release what the request holds, and record its outcome."""
     app.find('answers', Answers).close(running.answer)
     answer = running.answer
     work = estimate_work(len(answer.prompt), len(answer.tokens))
@@ -275,7 +295,9 @@
         running.granted, work if answer.sent else 0
     )
     elapsed = app.clock.monotonic() - running.started
-    app.find('meter', Meter).note_end(elapsed, len(answer.tokens), outcome)
+    app.find('meter', Meter).record_completion(
+        elapsed, len(answer.tokens), outcome
+    )
     app.find('timeline', Timeline).record(
         catalogue.REQUEST_ENDED,
         request=running.order.request,
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services."""
+"""Endpoint for requests to non-model services."""
 
 from dataclasses import dataclass, replace
 from http import HTTPStatus
@@ -16,7 +16,7 @@
     Outcome,
 )
 from ryelatch_core.settings import AccountEntry, Route, Settings
-from ryelatch_core.settings import Service as PlainService
+from ryelatch_core.settings import Service as NonModelService
 from ryelatch_node.admission import Admission
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front._body import read_body
@@ -38,8 +38,8 @@
 from ryelatch_node.upstreams import Upstreams
 
 _KEY_HEADER = 'idempotency-key'
-_MAX_KEY = 255
-_MAX_RECORDED = 900_000
+_MAX_KEY_CHARACTERS = 255
+_MAX_RECORDED_BYTES = 900_000
 
 _CLAIM_FAILURES = MappingProxyType(
     {
@@ -68,7 +68,7 @@
 )
 
 
-_NOT_KEPT = Failure(
+_ANSWER_NOT_KEPT = Failure(
     HTTPStatus.CONFLICT,
     'answer_not_kept',
     'The request with this idempotency key ran, and its answer was too large '
@@ -78,18 +78,21 @@
 
 
 @dataclass(frozen=True)
-class _Target:
-    """A request with the route that it takes."""
+class _RoutedRequest:
+    """A request with its client account, its route and its service.
+
+    :param prefix: the path prefix under which the settings hold the route.
+    """
 
     account: AccountEntry
     prefix: str
     route: Route
-    service: PlainService
+    service: NonModelService
     call: Call
 
 
-def serve_plain(app: App) -> Endpoint:
-    """Make the endpoint of all paths that are routes."""
+def serve_non_model(app: App) -> Endpoint:
+    """Make the endpoint for all paths that routes of the settings match."""
 
     async def answer(request: Request) -> Response:
         account = find_account(app, request)
@@ -98,33 +101,33 @@
         route = settings.routes[prefix]
         call = _build_call(request, prefix, route, await read_body(request))
         service = settings.services[route.service]
-        target = _Target(account, prefix, route, service, call)
+        routed = _RoutedRequest(account, prefix, route, service, call)
         started = app.clock.monotonic()
         admission = app.find('admission', Admission)
         admitted = await admission.admit(route.service, account, 1)
         if admitted.is_err():
             raise CallerError(admitted.unwrap_err())
         try:
-            return await _serve_target(app, target, request, started)
+            return await _serve_routed(app, routed, request, started)
         finally:
             admission.release(admitted.unwrap(), 1)
 
     return answer
 
 
-async def _serve_target(
+async def _serve_routed(
     app: App,
-    target: _Target,
+    routed: _RoutedRequest,
     request: Request,
     started: float,
 ) -> Response:
     key = request.headers.get(_KEY_HEADER, '')
     outcome = Outcome.UNKNOWN
     try:
-        if key and not target.call.idempotent:
-            answered = await _serve_claimed(app, target, key)
+        if key and not routed.call.idempotent:
+            answered = await _serve_claimed(app, routed, key)
         else:
-            answered = await _forward(app, target)
+            answered = await _forward(app, routed)
         outcome = (
             Outcome.COMPLETE
             if answered.status < HTTPStatus.BAD_REQUEST
@@ -135,63 +138,71 @@
         raise
     finally:
         elapsed = app.clock.monotonic() - started
-        app.find('meter', Meter).note_end(elapsed, 0, outcome)
+        app.find('meter', Meter).record_completion(elapsed, 0, outcome)
         app.find('timeline', Timeline).record(
             catalogue.REQUEST_ENDED,
-            request=target.call.request,
-            account=target.account.path,
-            route=target.prefix,
+            request=routed.call.request,
+            account=routed.account.path,
+            route=routed.prefix,
             outcome=outcome.value,
         )
     response = Response(answered.body, answered.status)
     for name, text in answered.headers:
         response.headers.append(name, text)
     response.headers[OUTCOME_HEADER] = outcome.value
-    response.headers[REQUEST_HEADER] = target.call.request
+    response.headers[REQUEST_HEADER] = routed.call.request
     return response
 
 
-async def _serve_claimed(app: App, target: _Target, key: str) -> Answer:
-    """Send a request at most once for its key, over all nodes."""
-    if len(key) > _MAX_KEY:
+async def _serve_claimed(app: App, routed: _RoutedRequest, key: str) -> Answer:
+    """Forward a request at most once per idempotency key, over all nodes.
+
+    A request whose key was claimed before gets the recorded answer.
+
+    :raises CallerError: if the key is too long or can't be claimed, if the
+        recorded answer was too large to keep, or if forwarding fails.
+    """
+    if len(key) > _MAX_KEY_CHARACTERS:
         raise refuse(
             HTTPStatus.BAD_REQUEST,
             'key_too_long',
-            f'At most {_MAX_KEY} characters.',
+            f'At most {_MAX_KEY_CHARACTERS} characters.',
         )
-    call = target.call
+    call = routed.call
     claims = app.find('claims', Claims)
     claimed = await claims.claim(
-        name_claim(target.account.path, target.prefix, key),
+        name_claim(routed.account.path, routed.prefix, key),
         fingerprint_call(call.method, call.path, call.body),
-        target.route.keep_answers,
-        target.service.timeout,
+        routed.route.keep_answers,
+        routed.service.timeout,
     )
     if claimed.is_err():
         raise CallerError(_CLAIM_FAILURES[claimed.unwrap_err()])
     claim = claimed.unwrap()
     if not isinstance(claim, Claim):
         if not claim.whole:
-            raise CallerError(_NOT_KEPT)
+            raise CallerError(_ANSWER_NOT_KEPT)
         headers = (*claim.headers, ('idempotent-replayed', 'true'))
         return Answer(claim.status, headers, claim.body)
-    return await _forward_claimed(app, target, claim)
+    return await _forward_claimed(app, routed, claim)
 
 
-async def _forward_claimed(app: App, target: _Target, claim: Claim) -> Answer:
+async def _forward_claimed(
+    app: App, routed: _RoutedRequest, claim: Claim
+) -> Answer:
     claims = app.find('claims', Claims)
     lost = replace(claim.record, state=RecordState.LOST)
     record = lost
     try:
-        answered = await _forward(app, target)
+        answered = await _forward(app, routed)
         body = answered.body
         record = replace(
             claim.record,
             state=RecordState.DONE,
             status=answered.status,
             headers=answered.headers,
-            body=body if len(body) <= _MAX_RECORDED else b'',
-            whole=len(body) <= _MAX_RECORDED,
+            body=body if len(body) <= _MAX_RECORDED_BYTES else b'',
+            whole=len(body) <= _MAX_RECORDED_BYTES,
         )
     except CallerError as error:
         if error.failure.outcome is Outcome.NOT_RUN:
@@ -202,33 +213,37 @@
     return answered
 
 
-async def _forward(app: App, target: _Target) -> Answer:
-    upstreams = app.find('upstreams', Upstreams).list_plain(target.service.role)
+async def _forward(app: App, routed: _RoutedRequest) -> Answer:
+    upstreams = app.find('upstreams', Upstreams).list_plain(routed.service.role)
     app.chance.shuffle(upstreams)
-    sent = await app.find('forwarder', Forwarder).forward(
-        target.call, target.service, upstreams
+    forwarded = await app.find('forwarder', Forwarder).forward(
+        routed.call, routed.service, upstreams
     )
-    if sent.is_err():
-        raise CallerError(sent.unwrap_err())
-    return sent.unwrap()
+    if forwarded.is_err():
+        raise CallerError(forwarded.unwrap_err())
+    return forwarded.unwrap()
 
 
 def _match_route(settings: Settings, account: AccountEntry, path: str) -> str:
-    """Find the longest route that a path lies under."""
+    """Find the longest route prefix that matches a path.
+
+    :raises CallerError: with 404 if no route that the client account may use
+        matches.
+    """
     allowed = account.policy.routes
-    fitting = [
+    matching = [
         prefix
         for prefix in settings.routes
-        if _lies_under(path, prefix) and (allowed is None or prefix in allowed)
+        if _is_under(path, prefix) and (allowed is None or prefix in allowed)
     ]
-    if not fitting:
+    if not matching:
         raise refuse(
             HTTPStatus.NOT_FOUND, 'no_route', f'No route leads from {path}.'
         )
-    return max(fitting, key=len)
+    return max(matching, key=len)
 
 
-def _lies_under(path: str, prefix: str) -> bool:
+def _is_under(path: str, prefix: str) -> bool:
     return path == prefix or path.startswith(f'{prefix.rstrip("/")}/')
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/front/_prompt.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_prompt.py
@@ -1,4 +1,4 @@
-"""The bodies that callers of a model send."""
+"""Parsing and checks of the bodies of requests to models."""
 
 from http import HTTPStatus
 from typing import Any
@@ -9,31 +9,31 @@
 from ryelatch_node.answers import Order
 from ryelatch_node.front._errors import refuse
 
-_BAD = HTTPStatus.BAD_REQUEST
+_BAD_REQUEST = HTTPStatus.BAD_REQUEST
 
 
 class Part(msgspec.Struct):
-    """A piece of a message; only text can be answered."""
+    """A content part of a message; only its text is used."""
 
     type: str
     text: str = ''
 
 
 class Message(msgspec.Struct):
-    """One turn of a chat."""
+    """One message of a chat."""
 
     role: str
     content: str | list[Part] | None = None
 
 
 class StreamOptions(msgspec.Struct):
-    """What a streamed answer should also hold."""
+    """Options of a streamed answer."""
 
     include_usage: bool = False
 
 
 class Prompt(msgspec.Struct):
-    """A request of either form; fields not named here are let be."""
+    """Body of a chat or text completion request; other fields are ignored."""
 
     model: str
     messages: list[Message] | None = None
@@ -46,41 +46,43 @@
 
     @property
     def wants_usage(self) -> bool:
-        """Whether the stream should end with the count of tokens."""
+        """Whether the stream should end with the token counts."""
         return self.stream_options is not None and (
             self.stream_options.include_usage
         )
 
 
 def parse_prompt(body: bytes, *, chat: bool) -> Prompt:
-    """Read a request's body.
+    """Parse the body of a request.
 
-    :raises CallerError: if it is malformed or of the wrong types.
+    :param chat: whether it is a chat completion.
+    :raises CallerError: if it is not JSON, a type is wrong, a required field
+        is missing, or more than one choice is requested.
     """
     try:
         prompt = msgspec.json.decode(body, type=Prompt)
     except msgspec.ValidationError as error:
-        raise refuse(_BAD, 'invalid_type', str(error)) from error
+        raise refuse(_BAD_REQUEST, 'invalid_type', str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise refuse(_BAD, 'invalid_json', str(error)) from error
-    missing = prompt.messages if chat else prompt.prompt
-    if not missing:
+        raise refuse(_BAD_REQUEST, 'invalid_json', str(error)) from error
+    required = prompt.messages if chat else prompt.prompt
+    if not required:
         name = 'messages' if chat else 'prompt'
-        raise refuse(_BAD, 'missing_field', f'{name!r} is required.')
+        raise refuse(_BAD_REQUEST, 'missing_field', f'{name!r} is required.')
     if prompt.choices not in {None, 1}:
-        raise refuse(_BAD, 'unsupported_value', "'n' must be 1.")
+        raise refuse(_BAD_REQUEST, 'unsupported_value', "'n' must be 1.")
     return prompt
 
 
 def render_text(prompt: Prompt, *, chat: bool) -> str:
-    """Give the text that the model continues."""
+    """Render the text that the model continues."""
     if chat:
         turns = [
-            f'{message.role}: {_join(message.content)}\n'
+            f'{message.role}: {_join_text(message.content)}\n'
             for message in prompt.messages or ()
         ]
         return f'{"".join(turns)}assistant: '
-    return _join(prompt.prompt)
+    return _join_text(prompt.prompt)
 
 
 def make_order(
@@ -92,7 +94,10 @@
 ) -> Order:
     """Check a request against the model and the client account's policy.
 
-    :raises CallerError: if the model is unknown or the prompt too long.
+    :param tokens: the prompt.
+    :raises CallerError: if the account may not use the model or there is no
+        such model, if ``max_tokens`` isn't positive, or if the prompt is too
+        long.
     """
     policy = account.policy
     model = settings.models.get(prompt.model)
@@ -101,18 +106,20 @@
     ):
         message = f'The model {prompt.model!r} does not exist.'
         raise refuse(HTTPStatus.NOT_FOUND, 'model_not_found', message)
-    wanted = prompt.max_completion_tokens or prompt.max_tokens
-    if wanted is not None and wanted < 1:
-        raise refuse(_BAD, 'invalid_value', "'max_tokens' must be positive.")
-    room = model.context - len(tokens)
-    if room < 1:
+    requested = prompt.max_completion_tokens or prompt.max_tokens
+    if requested is not None and requested < 1:
         raise refuse(
-            _BAD,
+            _BAD_REQUEST, 'invalid_value', "'max_tokens' must be positive."
+        )
+    remaining = model.context - len(tokens)
+    if remaining < 1:
+        raise refuse(
+            _BAD_REQUEST,
             'context_length_exceeded',
             f'The prompt has {len(tokens)} tokens; this model takes '
             f'{model.context} with the answer.',
         )
-    limit = min(wanted or policy.max_tokens, policy.max_tokens, room)
+    limit = min(requested or policy.max_tokens, policy.max_tokens, remaining)
     return Order(
         request,
         prompt.model,
@@ -124,7 +131,7 @@
     )
 
 
-def _join(content: Any) -> str:
+def _join_text(content: Any) -> str:
     if content is None:
         return ''
     if isinstance(content, str):
--- a/packages/ryelatch-node/src/ryelatch_node/front/_reply.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_reply.py
@@ -1,4 +1,4 @@
-"""Answers of a model in the shapes that callers' libraries know."""
+"""Answers of a model, in the formats that clients' libraries parse."""
 
 import asyncio
 import contextlib
@@ -14,16 +14,21 @@
 from ryelatch_node.answers import Answer, AnswerError
 from ryelatch_node.front._errors import encode_failure
 
-_MARK = 'MARK'
+_TEXT_PLACEHOLDER = 'MARK'
 
 
 @dataclass(frozen=True)
 class Shape:
-    """How one of the two interfaces names its parts."""
+    """Names that the answers of an endpoint use.
 
-    whole: str
-    chunk: str
-    prefix: str
+    :param completion_object: value of ``object`` in a complete answer.
+    :param chunk_object: value of ``object`` in an event of a stream.
+    :param id_prefix: start of the id of an answer.
+    """
+
+    completion_object: str
+    chunk_object: str
+    id_prefix: str
 
 
 CHAT = Shape('chat.completion', 'chat.completion.chunk', 'chatcmpl-')
@@ -31,12 +36,12 @@
 
 
 def decode_tokens(tokens: list[int]) -> str:
-    """Turn tokens into text; a token is a byte of it."""
+    """Decode tokens into text; each token is one byte."""
     return bytes(tokens).decode('latin-1')
 
 
 def encode_text(text: str) -> tuple[int, ...]:
-    """Turn text into tokens, one a byte."""
+    """Encode text as tokens, one per byte."""
     return tuple(text.encode())
 
 
@@ -45,7 +50,7 @@
     answer: Answer,
     model: str,
 ) -> dict[str, Any]:
-    """Build the body of an answer that is not streamed."""
+    """Build the body of an answer that isn't streamed."""
     text = decode_tokens(answer.tokens)
     choice: dict[str, Any] = {
         'index': 0,
@@ -57,8 +62,8 @@
     else:
         choice['text'] = text
     return {
-        'id': f'{shape.prefix}{answer.stream}',
-        'object': shape.whole,
+        'id': f'{shape.id_prefix}{answer.stream}',
+        'object': shape.completion_object,
         'created': int(time.time()),
         'model': model,
         'choices': [choice],
@@ -67,7 +72,7 @@
 
 
 def count_usage(answer: Answer) -> dict[str, int]:
-    """Count tokens as callers are told."""
+    """Count the tokens of a prompt and its answer, for ``usage``."""
     return {
         'prompt_tokens': len(answer.prompt),
         'completion_tokens': len(answer.tokens),
@@ -76,65 +81,73 @@
 
 
 class ChunkWriter:
-    """Writes server-sent events of one answer.
+    """Encodes the server-sent events of one answer.
 
-    All but the text of a token's event is the same for the whole answer and
-    is encoded once, as encoding is most of the node's cost of a token.
+    The events of all tokens differ only in their text. The rest is encoded
+    once per answer, because encoding takes most of the time that a node
+    spends on a token.
     """
 
     def __init__(self, shape: Shape, answer: Answer, model: str) -> None:
         self._shape = shape
         self._answer = answer
         self._base = {
-            'id': f'{shape.prefix}{answer.stream}',
-            'object': shape.chunk,
+            'id': f'{shape.id_prefix}{answer.stream}',
+            'object': shape.chunk_object,
             'created': int(time.time()),
             'model': model,
         }
-        sample = self._encode([self._choose(_MARK, None)])
-        head, _, tail = sample.partition(f'"{_MARK}"'.encode())
-        self._head = head
-        self._tail = tail
+        template = self._encode_event(
+            [self._build_choice(_TEXT_PLACEHOLDER, None)]
+        )
+        before_text, _, after_text = template.partition(
+            f'"{_TEXT_PLACEHOLDER}"'.encode()
+        )
+        self._before_text = before_text
+        self._after_text = after_text
 
     def write_start(self) -> bytes:
-        """Write the event before the first token."""
+        """Encode the event before the first token, if there is one."""
         if self._shape is not CHAT:
             return b''
-        first = self._choose('', None)
+        first = self._build_choice('', None)
         first['delta'] = {'role': 'assistant', 'content': ''}
-        return self._encode([first])
+        return self._encode_event([first])
 
     def write_tokens(self, tokens: list[int]) -> bytes:
-        """Write an event for each token."""
+        """Encode one event per token."""
         return b''.join(
             b'%b%b%b'
             % (
-                self._head,
+                self._before_text,
                 msgspec.json.encode(decode_tokens([token])),
-                self._tail,
+                self._after_text,
             )
             for token in tokens
         )
 
     def write_end(self, *, usage: bool) -> bytes:
-        """Write the events after the last token."""
-        last = self._choose('', self._answer.finish)
+        """Encode the events after the last token.
+
+        :param usage: whether they include the token counts.
+        """
+        last = self._build_choice('', self._answer.finish)
         if self._shape is CHAT:
             last['delta'] = {}
-        ending = self._encode([last])
+        ending = self._encode_event([last])
         if usage:
-            counted = self._base | {
+            usage_chunk = self._base | {
                 'choices': [],
                 'usage': count_usage(self._answer),
             }
-            ending += b'data: %b\n\n' % msgspec.json.encode(counted)
+            ending += b'data: %b\n\n' % msgspec.json.encode(usage_chunk)
         return b'%bdata: [DONE]\n\n' % ending
 
     def write_failure(self, error: AnswerError) -> bytes:
-        """Write the event that tells of an answer cut short."""
+        """Encode the error event that ends an incomplete answer."""
         return b'data: %b\n\n' % encode_failure(error.failure)
 
-    def _choose(self, text: str, finish: str | None) -> dict[str, Any]:
+    def _build_choice(self, text: str, finish: str | None) -> dict[str, Any]:
         choice: dict[str, Any] = {
             'index': 0,
             'finish_reason': finish,
@@ -146,26 +159,26 @@
             choice['text'] = text
         return choice
 
-    def _encode(self, choices: list[dict[str, Any]]) -> bytes:
+    def _encode_event(self, choices: list[dict[str, Any]]) -> bytes:
         body = self._base | {'choices': choices}
         return b'data: %b\n\n' % msgspec.json.encode(body)
 
 
 class EventStream(Response):
-    """A streamed answer that ends its work when the caller goes away.
+    """A streamed response that reports a disconnect of its client.
 
-    Its outcome is not known when its headers are sent; ``[DONE]`` or an
-    error event tells it at the end.
+    The outcome isn't known when the headers are sent; the last event,
+    ``[DONE]`` or an error, reports it.
 
-    :param chunks: pieces of the body; the first is ready already.
-    :param on_gone: called when the caller is gone before the end.
+    :param chunks: parts of the body; the first is available at once.
+    :param on_disconnect: called if the client disconnects before the end.
     """
 
     def __init__(
         self,
         chunks: AsyncGenerator[bytes, None],
         headers: dict[str, str],
-        on_gone: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> None:
         super().__init__(
             headers=headers,
@@ -173,7 +186,7 @@
         )
         del self.headers['content-length']
         self._chunks = chunks
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
 
     async def __call__(
         self,
@@ -181,8 +194,8 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Send the answer piece by piece."""
-        watcher = asyncio.create_task(self._watch(receive))
+        """Send the headers, then each chunk as it becomes available."""
+        watcher = asyncio.create_task(self._watch_for_disconnect(receive))
         try:
             await send(
                 {
@@ -199,8 +212,9 @@
                 await watcher
 
     async def _send_chunks(self, send: Send) -> None:
-        # Left to the collector after an error, the chunks would give back
-        # their place in the queue of the account some time or never.
+        # Closing the generator releases the request's place in the queue of
+        # its account. After an error, garbage collection would do that late
+        # or never.
         async with contextlib.aclosing(self._chunks) as chunks:
             async for chunk in chunks:
                 await send(
@@ -211,9 +225,9 @@
                     }
                 )
 
-    async def _watch(self, receive: Receive) -> None:
+    async def _watch_for_disconnect(self, receive: Receive) -> None:
         while True:
             message = await receive()
             if message['type'] == 'http.disconnect':
-                self._on_gone()
+                self._on_disconnect()
                 return
--- a/packages/ryelatch-node/src/ryelatch_node/front/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_service.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a node, as a service."""
+"""HTTP server of a node, and the setup of its services."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 from ryelatch_node.front._errors import CallerError, respond_failure
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import list_models, serve_model
-from ryelatch_node.front._plain import serve_plain
+from ryelatch_node.front._plain import serve_non_model
 from ryelatch_node.front._reply import CHAT, TEXT
 from ryelatch_node.plain import Forwarder
 from ryelatch_node.upstreams import Upstreams
@@ -35,8 +35,8 @@
 _POLL_SECONDS = 0.02
 
 
-class Front:
-    """Serves callers until told to stop, and then what is in progress."""
+class HttpServer:
+    """Serves HTTP requests, and drains them before the node stops."""
 
     def __init__(self, app: App, startup: Startup) -> None:
         self.ready = False
@@ -45,16 +45,16 @@
         self.port = 0
         self._app = app
         self._startup = startup
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._instance = uuid.uuid4().hex[:6]
         self._server: uvicorn.Server | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen, and tell the balancer that this node is ready."""
+        """Listen, and report to the load balancer that this node is ready."""
         tls = self._startup.tls
         config = uvicorn.Config(
-            self._wrap(self._build()),
+            self._track_requests(self._build_application()),
             host=self._startup.listen.host,
             port=self._startup.listen.port,
             log_config=None,
@@ -78,14 +78,14 @@
         self.ready = True
 
     async def drain(self) -> None:
-        """Refuse nothing, but ask callers to go elsewhere, then wait.
-
-        The balancer sends new connections until it has seen that the node is
-        not ready; and callers of kept connections send new requests on them
-        until an answer says that the connection closes. Cutting either shows
-        as a reset connection at the caller. So everything that still comes
-        is answered, with ``Connection: close``, until the notice has passed
-        and nothing is in progress.
+        """Wait until clients have moved away and no request is in progress.
+
+        The load balancer opens new connections until it has seen that the
+        node isn't ready, and clients reuse open connections until a response
+        announces that theirs closes. Refusing either would reset connections
+        of clients. So requests are still answered, with
+        ``Connection: close``, until the drain notice has passed and no
+        request is open.
         """
         self.draining = True
         self._app.find('timeline', Timeline).record(catalogue.NODE_DRAINING)
@@ -101,12 +101,12 @@
             await self._task
             await self._server.shutdown()
 
-    def _build(self) -> Starlette:
+    def _build_application(self) -> Starlette:
         app = self._app
         routes = [
-            Route('/healthz', self._tell_health),
-            Route('/readyz', self._tell_ready),
-            Route('/metrics', self._tell_metrics),
+            Route('/healthz', self._respond_health),
+            Route('/readyz', self._respond_ready),
+            Route('/metrics', self._respond_metrics),
             Route('/v1/models', list_models(app)),
             Route(
                 '/v1/chat/completions', serve_model(app, CHAT), methods=['POST']
@@ -115,36 +115,41 @@
             Route('/admin/status', admin.show_status(app)),
             Route('/admin/timeline', admin.show_timeline(app)),
             Route('/admin/drain', admin.drain_node(app), methods=['POST']),
-            Route('/{path:path}', serve_plain(app), methods=list(_METHODS)),
+            Route('/{path:path}', serve_non_model(app), methods=list(_METHODS)),
         ]
         return Starlette(
             routes=routes,
             exception_handlers={
-                CallerError: self._explain,
-                Exception: self._apologise,
+                CallerError: self._respond_caller_error,
+                Exception: self._respond_internal_error,
             },
         )
 
-    def _wrap(self, inner: ASGIApp) -> ASGIApp:
-        """Count requests, number them, and close connections in a drain."""
+    def _track_requests(self, inner: ASGIApp) -> ASGIApp:
+        """Wrap an application: count requests and assign their ids.
+
+        While the node drains, each response also closes its connection.
+        """
 
         async def outer(scope: Scope, receive: Receive, send: Send) -> None:
             if scope['type'] != 'http':
                 return
             self.open_requests += 1
-            number = next(self._numbers)
+            number = next(self._request_numbers)
             scope.setdefault('state', {})['request'] = (
                 f'{self._startup.name}-{self._instance}-{number}'
             )
             try:
-                await inner(scope, receive, self._mark_closing(send))
+                await inner(scope, receive, self._close_when_draining(send))
             finally:
                 self.open_requests -= 1
 
         return outer
 
-    def _mark_closing(self, send: Send) -> Callable[[Message], Awaitable[None]]:
-        async def marked(message: Message) -> None:
+    def _close_when_draining(
+        self, send: Send
+    ) -> Callable[[Message], Awaitable[None]]:
+        async def send_closing(message: Message) -> None:
             if self.draining and message['type'] == 'http.response.start':
                 message['headers'] = [
                     *message.get('headers', ()),
@@ -152,17 +157,21 @@
                 ]
             await send(message)
 
-        return marked
+        return send_closing
 
-    async def _explain(self, request: Request, error: Exception) -> Response:
+    async def _respond_caller_error(
+        self, request: Request, error: Exception
+    ) -> Response:
         if not isinstance(error, CallerError):
             raise error
         return respond_failure(
             error.failure, {REQUEST_HEADER: request.state.request}
         )
 
-    async def _apologise(self, request: Request, error: Exception) -> Response:
-        """Answer where this program itself failed."""
+    async def _respond_internal_error(
+        self, request: Request, error: Exception
+    ) -> Response:
+        """Answer a request after an unexpected exception in the router."""
         failure = Failure(
             HTTPStatus.INTERNAL_SERVER_ERROR,
             'internal_error',
@@ -172,10 +181,10 @@
         )
         return respond_failure(failure, {REQUEST_HEADER: request.state.request})
 
-    async def _tell_health(self, request: Request) -> Response:
+    async def _respond_health(self, request: Request) -> Response:
         return PlainTextResponse('ok\n')
 
-    async def _tell_ready(self, request: Request) -> Response:
+    async def _respond_ready(self, request: Request) -> Response:
         revision = self._app.find('settings', SettingsHolder).revision
         if self.draining:
             return PlainTextResponse('draining\n', _UNAVAILABLE)
@@ -183,21 +192,21 @@
             return PlainTextResponse('no settings yet\n', _UNAVAILABLE)
         return PlainTextResponse(f'ready, settings revision {revision}\n')
 
-    async def _tell_metrics(self, request: Request) -> Response:
+    async def _respond_metrics(self, request: Request) -> Response:
         exposed = self._app.find('meter', Meter).expose()
         return PlainTextResponse(exposed)
 
 
 def setup(app: App) -> None:
-    """Add the services ``meter`` and ``front``."""
+    """Add the services ``meter``, ``forwarder`` and ``front``."""
     startup = app.find('startup', Startup)
     answers = app.find('answers', Answers)
     holder = app.find('settings', SettingsHolder)
     upstreams = app.find('upstreams', Upstreams)
-    front = Front(app, startup)
+    http_server = HttpServer(app, startup)
     gauges: dict[str, Callable[[], float]] = {
         'answers_running': lambda: answers.running,
-        'requests_open': lambda: front.open_requests,
+        'requests_open': lambda: http_server.open_requests,
         'settings_revision': lambda: holder.revision,
         'engines_connected': lambda: sum(
             link.usable for link in upstreams.links.values()
@@ -217,9 +226,9 @@
     app.add(
         Service(
             'front',
-            front,
+            http_server,
             ('answers', 'admission', 'claims', 'forwarder', 'meter'),
-            start=front.start,
-            stop=front.stop,
+            start=http_server.start,
+            stop=http_server.stop,
         )
     )
--- a/packages/ryelatch-node/src/ryelatch_node/main.py
+++ b/packages/ryelatch-node/src/ryelatch_node/main.py
@@ -1,4 +1,4 @@
-"""The program ``ryelatch-node``."""
+"""Entry point of the program ``ryelatch-node``."""
 
 import asyncio
 import gc
@@ -55,8 +55,9 @@
 
 
 def read_startup(path: Path) -> Startup:
-    """Read and check start-up settings.
+    """Read and check the start-up settings.
 
+    :raises OSError: if the file can't be read.
     :raises SettingsError: with every mistake in the file.
     """
     checked = check_text(path.read_text(), str(path), Startup)
@@ -76,38 +77,39 @@
 
 
 async def serve(app: App) -> None:
-    """Serve until a signal, then stop without cutting anything off."""
+    """Serve until a signal, then finish all open requests and stop."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        # A second signal must not shorten the stop: an impatient supervisor
-        # would cut off answers that a few seconds more would have completed.
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        # A second signal must not shorten the shutdown: a supervisor that
+        # signals again would cut off answers that need a few seconds more.
+        loop.add_signal_handler(signal_number, stopping.set)
     await app.start()
     startup = app.find('startup', Startup)
     timeline = app.find('timeline', Timeline)
-    door = app.find('front', front.Front)
+    http_server = app.find('front', front.HttpServer)
     timeline.record(
         catalogue.NODE_STARTED,
         zone=startup.zone,
-        port=door.port,
+        port=http_server.port,
         peers=app.find('peers', peers.Peers).port,
     )
-    # What lives since the start lives to the end; collecting it again and
-    # again stalls the loop for milliseconds.
+    # Objects created at startup live until the process stops. Frozen, they
+    # are skipped by later collections, which would otherwise stall the event
+    # loop for milliseconds.
     gc.collect()
     gc.freeze()
     await stopping.wait()
     app.find('peers', peers.Peers).announce_drain()
-    await door.drain()
+    await http_server.drain()
     await app.stop()
     timeline.record(catalogue.NODE_STOPPED)
 
 
 def run() -> None:
-    """Parse arguments and serve; the entry point."""
+    """Parse the arguments and serve."""
     command = cappa.parse(NodeCommand)
-    flags.FLAGS.mark_as_parsed()  # cappa parses; absl only logs
+    flags.FLAGS.mark_as_parsed()  # cappa parses; absl is for logging only
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     try:
