--- a/packages/ryelatch-node/src/ryelatch_node/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/__init__.py
@@ -1,1 +1,1 @@
-"""The ryelatch router: one process on each entry VM."""
+"""Node of the ryelatch router: one process on each entry VM."""
--- a/packages/ryelatch-node/src/ryelatch_node/listener.py
+++ b/packages/ryelatch-node/src/ryelatch_node/listener.py
@@ -1,38 +1,38 @@
-"""Listens for clients before the libraries are loaded.
+"""Opens the socket for clients before the libraries are loaded.
 
-A process that was killed starts again within half a second, most of which
-goes into loading libraries. Clients whose streams were cut come back at once
-and have one try; refused a connection, they have lost their request. A socket
-that listens keeps them waiting until the loop takes them.
+A killed process restarts within half a second, most of which is spent on
+loading libraries. Clients whose streams were cut reconnect at once and try
+only once, so that a refused connection loses their request. On a listening
+socket, their connections wait until the event loop accepts them.
 
-Kept free of imports that take long, as it runs ahead of all others.
+This module must not import anything slow, because it runs before all others.
 """
 
 import socket
 from dataclasses import dataclass
 
 BACKLOG = 1024
-"""New connections that wait while the loop is busy.
+"""Maximum number of connections that wait to be accepted.
 
-A packet that opens a connection is dropped when the queue is full, and is
-sent again only a second later.
+When the queue is full, the kernel drops SYN packets, and clients resend them
+only after a second.
 """
 
 
 @dataclass(frozen=True)
 class Listener:
-    """Where clients connect.
+    """The socket on which clients connect.
 
-    :param front: a socket that listens already; nothing if none does.
+    :param front: a socket that already listens, or ``None``.
     """
 
     front: socket.socket | None = None
 
 
 def bind_listener(host: str, port: int) -> socket.socket:
-    """Bind a socket for clients.
+    """Bind a socket to an address.
 
-    :raises OSError: if the address can't be had.
+    :raises OSError: if the address isn't available.
     """
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -42,9 +42,9 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Bind a socket for clients, and let them wait there from now on.
+    """Bind a socket and listen; connections wait until they are accepted.
 
-    :raises OSError: if the address can't be had.
+    :raises OSError: if the address isn't available.
     """
     bound = bind_listener(host, port)
     bound.listen(BACKLOG)
--- a/packages/ryelatch-node/src/ryelatch_node/tasks.py
+++ b/packages/ryelatch-node/src/ryelatch_node/tasks.py
@@ -1,4 +1,4 @@
-"""Work that nobody awaits."""
+"""Background tasks whose results are not awaited."""
 
 import asyncio
 import traceback
@@ -12,9 +12,10 @@
 
 @dataclass(eq=False)
 class Tasks:
-    """Runs work beside all else, and records what crashes.
+    """Runs background tasks, and logs those that raise an exception.
 
-    :param part: names the work in that line, which is all that would tell.
+    :param part: what the log line names as the part of the node that failed;
+        no other record of the failure exists.
     """
 
     log: LineLog
@@ -22,15 +23,16 @@
     _running: set['asyncio.Task[None]'] = field(default_factory=set)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Begin some work."""
+        """Run a coroutine in the background."""
         task = asyncio.create_task(self._guard(work))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
-        # A task that is cancelled before it begins never awaits its work.
+        # A task that is cancelled before its first step never awaits the
+        # coroutine, which must then be closed here.
         task.add_done_callback(lambda _: work.close())
 
     async def stop(self) -> None:
-        """End what is running."""
+        """Cancel all running tasks."""
         for task in tuple(self._running):
             await cancel_task(task)
 
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -1,4 +1,4 @@
-"""Work that nobody awaits is not lost in silence."""
+"""Background tasks log their exceptions, and stop without leftovers."""
 
 import asyncio
 import inspect
@@ -23,23 +23,23 @@
 
 
 def test_crash_has_a_line() -> None:
-    """Without it nothing would tell why its streams stand still."""
+    """A task raises an exception; without a log line, its loss is invisible."""
     lines: list[bytes] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         tasks = _make_tasks(lines)
         tasks.spawn(_crash())
         await asyncio.sleep(1)
         tasks.log.flush()
 
-    run(play())
-    told = [json.loads(text) for line in lines for text in line.splitlines()]
-    assert [one['part'] for one in told] == ['errands']
-    assert 'of no use' in told[0]['trace']
+    run(scenario())
+    records = [json.loads(text) for line in lines for text in line.splitlines()]
+    assert [record['part'] for record in records] == ['errands']
+    assert 'of no use' in records[0]['trace']
 
 
 def test_stop_ends_what_runs() -> None:
-    """A stopping node leaves nothing behind."""
+    """A node stops while a task runs; the task is cancelled."""
     ended: list[str] = []
 
     async def work() -> None:
@@ -48,24 +48,24 @@
         finally:
             ended.append('work')
 
-    async def play() -> None:
+    async def scenario() -> None:
         tasks = _make_tasks([])
         tasks.spawn(work())
         await asyncio.sleep(1)
         await tasks.stop()
 
-    run(play())
+    run(scenario())
     assert ended == ['work']
 
 
 def test_stop_closes_what_has_not_begun() -> None:
-    """A node stops in the moment that work was begun; nothing complains."""
+    """A node stops before a new task has run; its coroutine is closed."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         tasks = _make_tasks([])
         work = _crash()
         tasks.spawn(work)
         await tasks.stop()
         assert inspect.getcoroutinestate(work) == inspect.CORO_CLOSED
 
-    run(play())
+    run(scenario())
