--- a/packages/ryelatch-cli/src/ryelatch_cli/__init__.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line of ryelatch."""
+"""Command line of ryelatch for operators."""
--- a/packages/ryelatch-cli/src/ryelatch_cli/_context.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_context.py
@@ -1,4 +1,4 @@
-"""What every command needs: the platform, the nodes, the keys."""
+"""Options common to all commands: platform, nodes and keys."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True)
 class Context:
-    """Where the system is, and who asks.
+    """Addresses and credentials that a command uses.
 
     :param nodes: base URLs of the nodes.
+    :param output: format in which results are printed.
     """
 
     platform_url: str
@@ -25,7 +26,10 @@
 
 @contextlib.asynccontextmanager
 async def use_store(context: Context) -> AsyncIterator[Store]:
-    """Open the platform's object API for the time of a command."""
+    """Open the platform's object store while a command runs.
+
+    :raises CommandError: if no URL of the platform is given.
+    """
     if not context.platform_url:
         raise CommandError(
             'no platform: give --platform-url or RYELATCH_PLATFORM_URL',
--- a/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
@@ -1,4 +1,4 @@
-"""The command that adds up what the nodes of a fleet have spent."""
+"""The command ``ryelatch costs``: resource usage of the nodes of a fleet."""
 
 import sys
 from collections.abc import Iterator
@@ -28,21 +28,23 @@
     ] = field(default_factory=list)
 
     async def run(self, context: Context) -> None:
-        """Print the table: the fleet, and the mean of a process.
+        """Print a table with the total of the fleet and the mean per process.
 
-        :raises CommandError: if no line tells what was spent.
+        :raises CommandError: if no log line reports resource usage.
         """
-        found = sum_costs(read_lines(read_texts(self.files)))
-        if not found.lives:
-            raise CommandError('no line tells costs', ExitCode.REFUSED)
-        sys.stdout.writelines(f'{row}\n' for row in _render(found))
+        usage = sum_costs(read_lines(read_texts(self.files)))
+        if not usage.lives:
+            raise CommandError(
+                'no line reports resource usage', ExitCode.REFUSED
+            )
+        sys.stdout.writelines(f'{row}\n' for row in _render(usage))
 
 
-def _render(found: FleetCosts) -> Iterator[str]:
-    yield f'{found.lives} processes'
+def _render(usage: FleetCosts) -> Iterator[str]:
+    yield f'{usage.lives} processes'
     yield f'{"fleet":>12}  {"a process":>10}  what'
-    for name, count in sorted(found.counts.items()):
-        yield f'{count:>12}  {count / found.lives:>10.2f}  {name}'
-    for activity, spent in sorted(found.seconds.items()):
-        mean = spent / found.lives
-        yield f'{spent:>12.3f}  {mean:>10.4f}  seconds/{activity}'
+    for name, count in sorted(usage.counts.items()):
+        yield f'{count:>12}  {count / usage.lives:>10.2f}  {name}'
+    for activity, total in sorted(usage.seconds.items()):
+        mean = total / usage.lives
+        yield f'{total:>12.3f}  {mean:>10.4f}  seconds/{activity}'
--- a/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
@@ -1,4 +1,4 @@
-"""The command that explains a request from log lines."""
+"""The command ``ryelatch explain``: the course of a request in log lines."""
 
 import sys
 from collections.abc import Iterator
@@ -17,13 +17,13 @@
     read_lines,
 )
 
-_SHOWN = frozenset(
+_OMITTED_FIELDS = frozenset(
     ('time', 'monotonic', 'process', 'event', 'name', 'level', 'request')
 )
 
 
 @cappa.command(
-    name='explain', help='Tell from log lines what became of a request.'
+    name='explain', help='Explain from log lines what happened to a request.'
 )
 @dataclass(frozen=True)
 class Explain:
@@ -39,7 +39,10 @@
     ] = field(default_factory=list)
 
     async def run(self, context: Context) -> None:
-        """Print the story.
+        """Print the log lines that explain the request, and the likely cause.
+
+        With ``all`` in place of a request, print how often each reason
+        occurs.
 
         :raises CommandError: if no line names the request.
         """
@@ -57,9 +60,9 @@
         merged = sorted(
             (*story.beliefs, *story.lines), key=lambda line: line.time
         )
-        begin = story.lines[0].time
+        start = story.lines[0].time
         for line in merged:
-            sys.stdout.write(_render(line, begin))
+            sys.stdout.write(_render(line, start))
         sys.stdout.write(f'likely cause: {story.cause}\n')
 
 
@@ -78,11 +81,11 @@
             raise CommandError(str(error), ExitCode.USAGE) from error
 
 
-def _render(line: Line, begin: float) -> str:
+def _render(line: Line, start: float) -> str:
     detail = ' '.join(
         f'{name}={entry}'
         for name, entry in line.detail.items()
-        if name not in _SHOWN
+        if name not in _OMITTED_FIELDS
     )
-    passed = line.time - begin
-    return f'{passed:8.3f}  {line.process}  {line.name}  {detail}\n'
+    elapsed = line.time - start
+    return f'{elapsed:8.3f}  {line.process}  {line.name}  {detail}\n'
--- a/packages/ryelatch-cli/src/ryelatch_cli/_fleet.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_fleet.py
@@ -1,4 +1,4 @@
-"""The commands that ask nodes: status, upstreams, time line, drain."""
+"""Commands that call the nodes: status, upstreams, timeline, drain."""
 
 import itertools
 from dataclasses import dataclass
@@ -8,22 +8,22 @@
 import msgspec
 
 from ryelatch_cli._context import Context
-from ryelatch_cli._nodes import ask_nodes
+from ryelatch_cli._nodes import call_nodes
 from ryelatch_cli._output import CommandError, ExitCode, print_rows
 from ryelatch_core.events import Event, merge_events
 from ryelatch_core.settings import hash_key
 
-_MILLISECONDS = 1000
+_MILLISECONDS_PER_SECOND = 1000
 
 
 @cappa.command(help='Show each node, its revision and what it does.')
 @dataclass(frozen=True)
 class Status:
-    """``ryelatch status``."""
+    """The command ``ryelatch status``."""
 
     async def run(self, context: Context) -> None:
-        """Show all nodes."""
-        answers = await ask_all(context, 'status')
+        """Print one row per node."""
+        answers = await call_all_nodes(context, 'status')
         rows = [
             {
                 'node': answer['node'],
@@ -45,11 +45,11 @@
 )
 @dataclass(frozen=True)
 class UpstreamsCommand:
-    """``ryelatch upstreams``."""
+    """The command ``ryelatch upstreams``."""
 
     async def run(self, context: Context) -> None:
-        """Show all upstreams."""
-        answers = await ask_all(context, 'status')
+        """Print one row per node and upstream."""
+        answers = await call_all_nodes(context, 'status')
         rows = [
             {
                 'node': answer['node'],
@@ -73,7 +73,7 @@
 )
 @dataclass(frozen=True)
 class TimelineCommand:
-    """``ryelatch timeline``."""
+    """The command ``ryelatch timeline``."""
 
     request: Annotated[
         str, cappa.Arg(long=True, help='only events of this request')
@@ -86,8 +86,8 @@
     ] = ''
 
     async def run(self, context: Context) -> None:
-        """Print the events in order."""
-        wanted = {
+        """Print the events of all nodes in order of time."""
+        filters = {
             name: text
             for name, text in (
                 ('request', self.request),
@@ -96,25 +96,30 @@
             )
             if text
         }
-        query = '&'.join(f'{name}={text}' for name, text in wanted.items())
-        answers = await ask_all(context, f'timeline?{query}')
+        query = '&'.join(f'{name}={text}' for name, text in filters.items())
+        answers = await call_all_nodes(context, f'timeline?{query}')
         events = merge_events(
             msgspec.convert(answer, list[Event]) for answer in answers.values()
         )
         start = events[0].stamp.wall if events else 0
-        print_rows([_draw(event, start) for event in events], context.output)
+        print_rows(
+            [_render_event(event, start) for event in events], context.output
+        )
 
 
 @cappa.command(help='Begin the planned stop of one node.')
 @dataclass(frozen=True)
 class Drain:
-    """``ryelatch drain URL``."""
+    """The command ``ryelatch drain``."""
 
     url: Annotated[str, cappa.Arg(help='base URL of the node')]
 
     async def run(self, context: Context) -> None:
-        """Tell the node to drain."""
-        answers = await ask_nodes(
+        """Request that the node drains.
+
+        :raises CommandError: if it does not answer or refuses.
+        """
+        answers = await call_nodes(
             [self.url], context.operator_key, 'drain', 'POST'
         )
         rows = [
@@ -122,45 +127,48 @@
         ]
         print_rows(rows, context.output)
         if not isinstance(answers[self.url], dict):
-            raise CommandError('the node did not agree', ExitCode.REFUSED)
+            raise CommandError(
+                'the node did not accept the drain', ExitCode.REFUSED
+            )
 
 
 @cappa.command(help='Print the hash of a key, as settings hold it.')
 @dataclass(frozen=True)
 class HashKey:
-    """``ryelatch hash-key KEY``."""
+    """The command ``ryelatch hash-key``."""
 
-    key: Annotated[str, cappa.Arg(help='the key that the caller will send')]
+    key: Annotated[str, cappa.Arg(help='the key that the client will send')]
 
     async def run(self, context: Context) -> None:
         """Print the hash."""
         print_rows([{'hash': hash_key(self.key)}], context.output)
 
 
-async def ask_all(context: Context, path: str) -> dict[str, Any]:
-    """Ask all nodes; some may be down, but not all.
+async def call_all_nodes(context: Context, path: str) -> dict[str, Any]:
+    """Call an admin endpoint of all nodes, and leave out those that fail.
 
-    :raises CommandError: if none answers.
+    :returns: the JSON of each node that answers, by its base URL.
+    :raises CommandError: if no node answers.
     """
     if not context.nodes:
         raise CommandError(
             'no nodes: give --nodes or RYELATCH_NODES', ExitCode.USAGE
         )
-    answers = await ask_nodes(context.nodes, context.operator_key, path)
-    good = {
+    answers = await call_nodes(context.nodes, context.operator_key, path)
+    successful = {
         url: answer
         for url, answer in answers.items()
         if not isinstance(answer, str)
     }
-    if not good:
-        told = '\n'.join(itertools.starmap('{}: {}'.format, answers.items()))
-        raise CommandError(f'no node answers:\n{told}', ExitCode.REFUSED)
-    return good
+    if not successful:
+        errors = '\n'.join(itertools.starmap('{}: {}'.format, answers.items()))
+        raise CommandError(f'no node answers:\n{errors}', ExitCode.REFUSED)
+    return successful
 
 
-def _draw(event: Event, start: int) -> dict[str, str]:
+def _render_event(event: Event, start: int) -> dict[str, str]:
     detail = ' '.join(f'{name}={text}' for name, text in event.detail.items())
-    seconds = (event.stamp.wall - start) / _MILLISECONDS
+    seconds = (event.stamp.wall - start) / _MILLISECONDS_PER_SECOND
     return {
         'seconds': f'{seconds:9.3f}',
         'process': event.process,
--- a/packages/ryelatch-cli/src/ryelatch_cli/_nodes.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_nodes.py
@@ -1,4 +1,4 @@
-"""Calls to the nodes' endpoints for operators."""
+"""Calls to the admin endpoints of nodes."""
 
 import asyncio
 from http import HTTPStatus
@@ -6,27 +6,31 @@
 
 import aiohttp
 
-_SECONDS = 5
+_TIMEOUT_SECONDS = 5
 _POLL_SECONDS = 0.1
 
 
-async def ask_nodes(
+async def call_nodes(
     urls: list[str],
     key: str,
     path: str,
     method: str = 'GET',
 ) -> dict[str, Any]:
-    """Ask all nodes at once.
+    """Call an admin endpoint of all given nodes concurrently.
 
-    :returns: the JSON of each by its address; an error's text in its place.
+    :returns: by base URL, the JSON that a node answered, or the text of the
+        error.
     """
-    timeout = aiohttp.ClientTimeout(_SECONDS)
+    timeout = aiohttp.ClientTimeout(_TIMEOUT_SECONDS)
     headers = {'Authorization': f'Bearer {key}'}
     async with aiohttp.ClientSession(
         timeout=timeout, headers=headers
     ) as session:
         answers = await asyncio.gather(
-            *(_ask(session, method, f'{url}/admin/{path}') for url in urls)
+            *(
+                _call_node(session, method, f'{url}/admin/{path}')
+                for url in urls
+            )
         )
     return dict(zip(urls, answers, strict=True))
 
@@ -37,25 +41,29 @@
     revision: int,
     seconds: float,
 ) -> dict[str, int]:
-    """Wait until all nodes have a revision in force.
+    """Wait until a revision is in force on all nodes, or time is up.
 
-    :returns: the revision of each when all had it, or time was up; -1 for
-        one that does not answer.
+    :returns: the last revision that each node reported, by its base URL; -1
+        for a node that does not answer.
     """
-    due = asyncio.get_running_loop().time() + seconds
+    deadline = asyncio.get_running_loop().time() + seconds
     while True:
-        answers = await ask_nodes(urls, key, 'status')
-        found = {
+        answers = await call_nodes(urls, key, 'status')
+        revisions = {
             url: answer['revision'] if isinstance(answer, dict) else -1
             for url, answer in answers.items()
         }
-        done = all(known >= revision for known in found.values())
-        if done or asyncio.get_running_loop().time() >= due:
-            return found
+        done = all(
+            node_revision >= revision for node_revision in revisions.values()
+        )
+        if done or asyncio.get_running_loop().time() >= deadline:
+            return revisions
         await asyncio.sleep(_POLL_SECONDS)
 
 
-async def _ask(session: aiohttp.ClientSession, method: str, url: str) -> Any:
+async def _call_node(
+    session: aiohttp.ClientSession, method: str, url: str
+) -> Any:
     try:
         async with session.request(method, url) as response:
             if response.status >= HTTPStatus.BAD_REQUEST:
--- a/packages/ryelatch-cli/src/ryelatch_cli/_output.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_output.py
@@ -1,4 +1,4 @@
-"""What the command line prints."""
+"""Output and exit codes of the command line."""
 
 import enum
 import json
@@ -8,26 +8,26 @@
 
 
 class Output(enum.StrEnum):
-    """How results are printed."""
+    """Format in which results are printed."""
 
     TABLE = 'table'
     JSON = 'json'
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit code of a command says."""
+    """Exit codes of the commands."""
 
     DONE = 0
     REFUSED = 1
     USAGE = 2
-    STORE_OUT = 3
+    STORE_UNAVAILABLE = 3
     NOT_EVERYWHERE = 4
 
 
 class CommandError(Exception):
-    """A command that could not do its work.
+    """Raised when a command fails.
 
-    :param code: what the process exits with.
+    :param code: exit code of the process.
     """
 
     def __init__(self, message: str, code: ExitCode) -> None:
@@ -36,7 +36,7 @@
 
 
 def print_rows(rows: Sequence[Mapping[str, Any]], output: Output) -> None:
-    """Print rows of the same fields."""
+    """Print rows, which all have the same fields, as a table or as JSON."""
     if output is Output.JSON:
         print_text(json.dumps(list(rows), indent=2))
         return
@@ -53,5 +53,5 @@
 
 
 def print_text(text: str) -> None:
-    """Print to standard output."""
+    """Print a line to standard output."""
     sys.stdout.write(f'{text}\n')
--- a/packages/ryelatch-cli/src/ryelatch_cli/_settings.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_settings.py
@@ -1,4 +1,4 @@
-"""The commands ``ryelatch settings ...``."""
+"""The commands below ``ryelatch settings``."""
 
 import difflib
 import getpass
@@ -33,14 +33,14 @@
 
 _File = Annotated[Path, cappa.Arg(help='YAML file with the settings tree')]
 _Root = TypeVar('_Root')
-_HISTORY = 20
+_HISTORY_COUNT = 20
 _IN_FORCE_SECONDS = 9.0
 
 
 @cappa.command(help='Find every mistake in a file, without any call.')
 @dataclass(frozen=True)
 class Check:
-    """``ryelatch settings check FILE``."""
+    """The command ``ryelatch settings check``."""
 
     file: _File
     startup: Annotated[
@@ -49,7 +49,10 @@
     ] = False
 
     async def run(self, context: Context) -> None:
-        """Check the file."""
+        """Check the file.
+
+        :raises CommandError: with every mistake in it.
+        """
         read_file(self.file, Startup if self.startup else Settings)
         print_text(f'{self.file}: no mistakes')
 
@@ -57,18 +60,18 @@
 @cappa.command(help='Show what applying a file would change.')
 @dataclass(frozen=True)
 class Diff:
-    """``ryelatch settings diff FILE``."""
+    """The command ``ryelatch settings diff``."""
 
     file: _File
 
     async def run(self, context: Context) -> None:
         """Compare the file with the newest revision."""
-        mine = read_file(self.file, Settings)
+        edited = read_file(self.file, Settings)
         async with use_store(context) as store:
             newest, theirs = await read_newest(store)
         lines = difflib.unified_diff(
             render_text(theirs, newest.revision).splitlines()[1:],
-            render_text(mine, newest.revision).splitlines()[1:],
+            render_text(edited, newest.revision).splitlines()[1:],
             f'revision {newest.revision}',
             str(self.file),
             lineterm='',
@@ -78,13 +81,13 @@
 
 @cappa.command(
     help='Have a file accepted as the next revision, then wait until all '
-    'nodes named have it in force. A file printed by `show` knows the '
+    'nodes named have it in force. A file printed by `show` names the '
     'revision it came from: if others changed the same parts since, it is '
     'refused and nothing changes.'
 )
 @dataclass(frozen=True)
 class Apply:
-    """``ryelatch settings apply FILE``."""
+    """The command ``ryelatch settings apply``."""
 
     file: _File
     message: Annotated[
@@ -98,7 +101,11 @@
     ] = _IN_FORCE_SECONDS
 
     async def run(self, context: Context) -> None:
-        """Apply the file."""
+        """Have the file accepted, and wait until it is in force.
+
+        :raises CommandError: if it is not accepted, or not in force on all
+            nodes in time.
+        """
         settings = read_file(self.file, Settings)
         base = self.base
         if base is None:
@@ -118,10 +125,10 @@
         rows = [
             {
                 'node': url,
-                'revision': known,
-                'in_force': known >= revision,
+                'revision': node_revision,
+                'in_force': node_revision >= revision,
             }
-            for url, known in found.items()
+            for url, node_revision in found.items()
         ]
         print_text(f'accepted as revision {revision}')
         print_rows(rows, context.output)
@@ -136,7 +143,7 @@
 @cappa.command(help='Print the newest revision, ready to be edited.')
 @dataclass(frozen=True)
 class Show:
-    """``ryelatch settings show``."""
+    """The command ``ryelatch settings show``."""
 
     revision: Annotated[
         int | None, cappa.Arg(long=True, help='an older revision')
@@ -152,12 +159,14 @@
 @cappa.command(help='List revisions, the newest first.')
 @dataclass(frozen=True)
 class History:
-    """``ryelatch settings history``."""
+    """The command ``ryelatch settings history``."""
 
-    count: Annotated[int, cappa.Arg(long=True, help='how many')] = _HISTORY
+    count: Annotated[int, cappa.Arg(long=True, help='how many')] = (
+        _HISTORY_COUNT
+    )
 
     async def run(self, context: Context) -> None:
-        """List revisions."""
+        """Print one row per revision."""
         async with use_store(context) as store:
             newest, _ = await read_newest(store)
             found = await acceptance.list_history(store, newest, self.count)
@@ -175,17 +184,20 @@
 
 
 @cappa.command(
-    help='Tell where each value in force at a client account comes from, '
+    help='Show where each value in force at a client account comes from, '
     'such as: ryelatch settings explain accounts/clinics/district-1'
 )
 @dataclass(frozen=True)
 class Explain:
-    """``ryelatch settings explain PATH``."""
+    """The command ``ryelatch settings explain``."""
 
     path: Annotated[str, cappa.Arg(help='path of the client account')]
 
     async def run(self, context: Context) -> None:
-        """Print each field with its origin."""
+        """Print each field of the effective policy with its origin.
+
+        :raises CommandError: if there is no such client account.
+        """
         async with use_store(context) as store:
             _, settings = await read_newest(store)
         origins = explain_policy(settings, self.path)
@@ -207,7 +219,7 @@
 @cappa.command(help='Print the JSON Schema of a kind of file.')
 @dataclass(frozen=True)
 class Schema:
-    """``ryelatch settings schema``."""
+    """The command ``ryelatch settings schema``."""
 
     kind: Annotated[
         Literal['settings', 'startup'], cappa.Arg(help='which file')
@@ -222,14 +234,14 @@
 @cappa.command(name='settings', help='Check, change and explain settings.')
 @dataclass(frozen=True)
 class SettingsCommand:
-    """``ryelatch settings``."""
+    """The command ``ryelatch settings``."""
 
     command: cappa.Subcommands[
         Check | Diff | Apply | Show | History | Explain | Schema
     ]
 
     async def run(self, context: Context) -> None:
-        """Run the command chosen."""
+        """Run the chosen command."""
         await self.command.run(context)
 
 
@@ -252,7 +264,11 @@
     store: Store,
     revision: int | None = None,
 ) -> tuple[Index, Settings]:
-    """Read the newest revision, or an older one."""
+    """Read the newest revision, or an older one.
+
+    :raises CommandError: if the store does not answer, or there is no such
+        revision.
+    """
     found = await acceptance.read_root(store)
     if found.is_err():
         raise explain_refusal(found.unwrap_err())
@@ -263,12 +279,12 @@
         raise CommandError(f'there is no revision {revision}', ExitCode.REFUSED)
     settings = await acceptance.read_settings(store, index)
     if settings is None:
-        raise explain_refusal(acceptance.StoreSilent())
+        raise explain_refusal(acceptance.StoreUnavailable())
     return index, settings
 
 
 def explain_refusal(refusal: acceptance.Refusal) -> CommandError:
-    """Tell an operator why an edit was not accepted, and what to do."""
+    """Make the error that reports why an edit was refused, and what to do."""
     match refusal:
         case Conflict(parts, theirs):
             changed = '\n'.join(f'  {part}' for part in parts)
@@ -285,7 +301,7 @@
                 f'not accepted: there is no revision {revision} to start from',
                 ExitCode.REFUSED,
             )
-        case acceptance.StoreSilent(mark):
+        case acceptance.StoreUnavailable(mark):
             text = 'the platform does not answer'
             if mark:
                 text = (
@@ -293,4 +309,4 @@
                     f'Look for mark {mark[:8]} in `ryelatch settings history` '
                     'when it answers again.'
                 )
-            return CommandError(text, ExitCode.STORE_OUT)
+            return CommandError(text, ExitCode.STORE_UNAVAILABLE)
--- a/packages/ryelatch-cli/src/ryelatch_cli/main.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/main.py
@@ -1,4 +1,4 @@
-"""The program ``ryelatch``."""
+"""Entry point of the program ``ryelatch``."""
 
 import asyncio
 import sys
@@ -95,7 +95,7 @@
 
 
 def run() -> None:
-    """Parse arguments and run the command; the entry point."""
+    """Parse the arguments and run the command."""
     arguments = cappa.parse(Main)
     context = Context(
         arguments.platform_url,
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""Commands of the command line for operators."""
 
 import json
 import os
@@ -54,28 +54,28 @@
     ],
 )
 def test_wrong_use(arguments: tuple[str, ...], code: int, part: str) -> None:
-    told = _run(*arguments, COLUMNS='200')
-    assert told.returncode == code
-    assert part in told.stderr
-    assert 'Traceback' not in told.stderr
+    result = _run(*arguments, COLUMNS='200')
+    assert result.returncode == code
+    assert part in result.stderr
+    assert 'Traceback' not in result.stderr
 
 
 def test_mistakes_are_told_together(tmp_path: Path) -> None:
     wrong = tmp_path / 'wrong.yaml'
     wrong.write_text('polcy: {}\nmodels: {a: {layers: 0}}\n')
-    told = _run('settings', 'check', str(wrong))
-    assert told.returncode == 1
-    assert "did you mean 'policy'?" in told.stderr
-    assert 'models/a/layers' in told.stderr
+    result = _run('settings', 'check', str(wrong))
+    assert result.returncode == 1
+    assert "did you mean 'policy'?" in result.stderr
+    assert 'models/a/layers' in result.stderr
 
 
 def test_hash_key() -> None:
-    told = _run('--output', 'json', 'hash-key', OPERATOR_KEY)
-    assert json.loads(told.stdout) == [{'hash': hash_key(OPERATOR_KEY)}]
+    result = _run('--output', 'json', 'hash-key', OPERATOR_KEY)
+    assert json.loads(result.stdout) == [{'hash': hash_key(OPERATOR_KEY)}]
 
 
 async def test_operators_day() -> None:
-    """An operator looks around, explains, edits, looks back and drains."""
+    """An operator reads the status, edits settings and drains a node."""
     async with run_fleet(make_shape(nodes=2)) as fleet:
         code, output, _ = await fleet.run_cli('--output', 'json', 'status')
         assert code == 0
@@ -104,4 +104,4 @@
         assert await node.child.wait() == 0
         code, _, errors = await fleet.run_cli('drain', node.url)
         assert code == 1
-        assert 'did not agree' in errors
+        assert 'did not accept the drain' in errors
--- a/tests/cli/test_costs.py
+++ b/tests/cli/test_costs.py
@@ -1,4 +1,4 @@
-"""``ryelatch costs`` reads files of log lines."""
+"""``ryelatch costs`` adds up the resource usage in files of log lines."""
 
 import json
 import subprocess
@@ -31,9 +31,9 @@
         for name, calls in (('a', 3), ('b', 4))
     )
     path.write_text(''.join(f'{json.dumps(line)}\n' for line in lines))
-    told = _run(str(path))
-    assert told.returncode == 0
-    rows = [row.split() for row in told.stdout.splitlines()]
+    result = _run(str(path))
+    assert result.returncode == 0
+    rows = [row.split() for row in result.stdout.splitlines()]
     assert ['7', '3.50', 'store/servers/watch/steady/empty'] in rows
     assert ['1.000', '0.5000', 'seconds/plan'] in rows
 
@@ -41,6 +41,6 @@
 def test_lines_without_costs_are_an_error(tmp_path: Path) -> None:
     path = tmp_path / 'other.log'
     path.write_text('no line of a node\n')
-    told = _run(str(path))
-    assert told.returncode == 1
-    assert 'no line tells costs' in told.stderr
+    result = _run(str(path))
+    assert result.returncode == 1
+    assert 'no line reports resource usage' in result.stderr
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""``ryelatch explain`` reads files of log lines."""
+"""``ryelatch explain`` explains a request from files of log lines."""
 
 import json
 import subprocess
@@ -34,15 +34,15 @@
 
 
 def test_story_is_told(tmp_path: Path) -> None:
-    told = _run('r-1', _write_log(tmp_path))
-    assert told.returncode == 0
-    assert 'store-out' in told.stdout
-    assert 'no fresh word from the store' in told.stdout
+    result = _run('r-1', _write_log(tmp_path))
+    assert result.returncode == 0
+    assert 'store-out' in result.stdout
+    assert 'no fresh word from the store' in result.stdout
 
 
 def test_reasons_are_counted(tmp_path: Path) -> None:
-    told = _run('all', _write_log(tmp_path))
-    assert '1  exchange-refused: keys are unconfirmed' in told.stdout
+    result = _run('all', _write_log(tmp_path))
+    assert '1  exchange-refused: keys are unconfirmed' in result.stdout
 
 
 def test_unknown_request_and_file_are_told(tmp_path: Path) -> None:
