--- a/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
@@ -11,7 +11,7 @@
 from ryelatch_cli._context import Context
 from ryelatch_cli._explain import read_texts
 from ryelatch_cli._output import CommandError, ExitCode
-from ryelatch_core.events import FleetCosts, read_lines, sum_costs
+from ryelatch_core.events import FleetUsage, read_lines, sum_usage
 
 
 @cappa.command(
@@ -32,19 +32,19 @@
 
         :raises CommandError: if no log line reports resource usage.
         """
-        usage = sum_costs(read_lines(read_texts(self.files)))
-        if not usage.lives:
+        usage = sum_usage(read_lines(read_texts(self.files)))
+        if not usage.incarnations:
             raise CommandError(
                 'no line reports resource usage', ExitCode.REFUSED
             )
         sys.stdout.writelines(f'{row}\n' for row in _render(usage))
 
 
-def _render(usage: FleetCosts) -> Iterator[str]:
-    yield f'{usage.lives} processes'
+def _render(usage: FleetUsage) -> Iterator[str]:
+    yield f'{usage.incarnations} processes'
     yield f'{"fleet":>12}  {"a process":>10}  what'
     for name, count in sorted(usage.counts.items()):
-        yield f'{count:>12}  {count / usage.lives:>10.2f}  {name}'
+        yield f'{count:>12}  {count / usage.incarnations:>10.2f}  {name}'
     for activity, total in sorted(usage.seconds.items()):
-        mean = total / usage.lives
+        mean = total / usage.incarnations
         yield f'{total:>12.3f}  {mean:>10.4f}  seconds/{activity}'
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
@@ -215,7 +215,7 @@
 
 async def _forward(app: App, routed: _RoutedRequest) -> Answer:
     upstreams = app.find('upstreams', Upstreams).list_plain(routed.service.role)
-    app.chance.shuffle(upstreams)
+    app.random_source.shuffle(upstreams)
     forwarded = await app.find('forwarder', Forwarder).forward(
         routed.call, routed.service, upstreams
     )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryelatch_core.events import CostBook, LineLog, catalogue, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
 from ryelatch_core.membership import (
     NodeEntry,
@@ -66,7 +66,7 @@
     clock: Clock
     startup: RelayStartup
     dial: Dial = asyncio.open_connection
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     address: Address = field(init=False)
     server: PeerServer = field(init=False)
     wanted: frozenset[str] = frozenset()
@@ -289,6 +289,6 @@
         app.find('log', LineLog),
         app.clock,
         app.find('startup', RelayStartup),
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
     )
     app.add(Service('news', news, start=news.start, stop=news.stop))
