--- a/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
@@ -58,7 +58,8 @@
                 ExitCode.REFUSED,
             )
         merged = sorted(
-            (*explanation.state_changes, *explanation.lines), key=lambda line: line.time
+            (*explanation.state_changes, *explanation.lines),
+            key=lambda line: line.time,
         )
         start = explanation.lines[0].time
         for line in merged:
