--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/__init__.py
@@ -1,4 +1,4 @@
-"""What this node believes of configuration and replicas, and how firmly."""
+"""A node's views of the configuration and the replicas, and their age."""
 
 from ryelatch_node.beliefs._configuration import ConfigurationView
 from ryelatch_node.beliefs._replicas import ReplicasChanged, ReplicaView
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and when it was last confirmed."""
+"""The node's view of the configuration, and when it was last confirmed."""
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
@@ -8,13 +8,14 @@
     RoutingTable,
     build_table,
 )
-from ryelatch_node.beliefs._known import NEVER_SECONDS
+from ryelatch_node.beliefs._known import UNKNOWN_AGE_SECONDS
 
 
 class ConfigurationView:
-    """The configuration that requests are handled by.
+    """The configuration that this node handles requests by.
 
-    :param bound: seconds for which keys may be accepted unconfirmed.
+    :param bound: seconds for which API keys of clients are accepted without a
+        confirmation that the configuration is still the newest.
     """
 
     def __init__(self, log: LineLog, clock: Clock, bound: float) -> None:
@@ -25,38 +26,39 @@
         self._fresh = True
 
     def set_bound(self, bound: float) -> None:
-        """Change for how long keys may be accepted unconfirmed."""
+        """Set for how many seconds keys are accepted without confirmation."""
         self._confirmation.bound = bound
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before any is known."""
+        """The version in force; 0 before the first one is received."""
         return self.table.configuration.version if self.table else 0
 
     @property
     def age(self) -> float:
-        """Seconds since the configuration was known to be the newest."""
+        """Seconds since the configuration was last confirmed as the newest."""
         age = self._confirmation.age(self._clock.monotonic())
-        return min(age, NEVER_SECONDS)
+        return min(age, UNKNOWN_AGE_SECONDS)
 
     @property
     def oldest(self) -> float:
-        """Age in seconds at which keys are no longer accepted."""
+        """Age in seconds from which keys are no longer accepted."""
         return self._confirmation.oldest
 
     @property
     def left(self) -> float:
-        """Seconds for which keys are accepted if nothing confirms them."""
+        """Seconds until keys are refused unless a confirmation arrives."""
         return self._confirmation.left(self._clock.monotonic())
 
     def offer(self, configuration: Configuration, sent: float) -> None:
-        """Take a version that the store gave, if it isn't older.
+        """Apply a version read from the store unless it is older.
 
-        A list may be served by a part of the store that lags behind what
-        this node has seen. Going back to it would undo a change that was
-        accepted and seen in force by callers.
+        A list may be served by a replica of the store that lags behind the
+        version in force here. Applying it would undo a change that the store
+        accepted and that clients have already seen in force.
 
-        :param sent: when the call was sent that brought it.
+        :param sent: when the call that returned this version was sent, in
+            monotonic seconds.
         """
         if configuration.version < self.version:
             self._log.record(
@@ -76,12 +78,15 @@
         self.confirm(sent)
 
     def confirm(self, sent: float) -> None:
-        """Note that a call sent at this time showed nothing newer."""
+        """Record that a call sent at this time returned nothing newer.
+
+        :param sent: monotonic seconds.
+        """
         self._confirmation.confirm(sent)
         self.allows_keys()
 
     def allows_keys(self) -> bool:
-        """Whether keys may be accepted by this configuration."""
+        """Whether keys may be accepted; logs when that changes."""
         fresh = self._confirmation.allows_keys(self._clock.monotonic())
         if fresh != self._fresh:
             self._fresh = fresh
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
@@ -1,4 +1,4 @@
-"""As of when the list of replicas is known."""
+"""When the list of replicas was last confirmed as current."""
 
 from dataclasses import dataclass
 
@@ -6,18 +6,19 @@
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import DepartureTerms
 
-NEVER_SECONDS = 1e9
-"""Age written for what was never confirmed; JSON holds no infinity."""
+UNKNOWN_AGE_SECONDS = 1e9
+"""Age reported when nothing was ever confirmed, as JSON has no infinity."""
 
 _DIGITS = 3
 
 
 @dataclass(eq=False)
-class Known:
-    """The time of a node's knowledge, and how old that may be.
+class Freshness:
+    """When the list of replicas was last current, and its maximum age.
 
-    :param terms: bounds on requests to replicas that have left.
-    :param at: monotonic seconds at which nothing else had changed.
+    :param terms: time bounds on requests to replicas that have left.
+    :param at: monotonic seconds at which the list was last confirmed to
+        hold every change.
     """
 
     log: LineLog
@@ -28,23 +29,23 @@
 
     @property
     def age(self) -> float:
-        """Seconds since nothing else had changed."""
-        return min(self.clock.monotonic() - self.at, NEVER_SECONDS)
+        """Seconds since the list was last confirmed as current."""
+        return min(self.clock.monotonic() - self.at, UNKNOWN_AGE_SECONDS)
 
     @property
     def left(self) -> float:
-        """Seconds until the list is older than it should be."""
+        """Seconds until the list exceeds its maximum age."""
         return self.terms.oldest - self.age
 
-    def confirm(self, known: float) -> None:
-        """Note that nothing else had changed at a time.
+    def confirm(self, confirmed_at: float) -> None:
+        """Record that the list held every change made up to a time.
 
-        :param known: monotonic seconds.
+        :param confirmed_at: monotonic seconds.
         """
-        self.at = max(self.at, known)
+        self.at = max(self.at, confirmed_at)
 
     def check(self) -> None:
-        """Record when the list has grown too old, and when it is fresh."""
+        """Log when the list becomes too old, and when it is current again."""
         fresh = self.left >= 0
         if fresh != self._fresh:
             self._fresh = fresh
@@ -55,5 +56,5 @@
             )
 
     def round_age(self) -> float:
-        """Shorten the age for a log line."""
+        """Round the age for a log line."""
         return round(self.age, _DIGITS)
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_learned.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_learned.py
@@ -1,77 +1,87 @@
-"""What replicas said of themselves before their entries did."""
+"""Reports of replicas that take precedence over their registry entries."""
 
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import LayerRange, Replica
 
-LEARNED_SECONDS = 1.0
-"""How long at least what a replica said of itself goes before its entry.
+REPORT_PRECEDENCE_SECONDS = 1.0
+"""Minimum time for which a report takes precedence over the registry entry.
 
-It writes its entry up to a second after it has said so. An entry may be heard
-of later still, when the store was away, so the list must also be known as of
-later than the denial before an entry that says the opposite is taken.
+A replica updates its entry up to a second after its report. After an outage of
+the store, the entry may arrive much later. An entry that contradicts the
+report is therefore applied only if the list was also confirmed as current at
+a time after the report.
 """
 
 
 @dataclass(slots=True)
-class _Denial:
-    """A replica's word against its entry.
+class _Override:
+    """A report that contradicts the replica's entry.
 
-    :param layers: that its entry said it held.
-    :param at: when it denied them, in monotonic seconds.
-    :param waiting: the last entry that still said so.
+    :param layers: held according to the entry, but not to the report.
+    :param at: when the report arrived, in monotonic seconds.
+    :param deferred: the last entry received since that still lists them.
     """
 
     layers: LayerRange | None
     at: float
-    waiting: Replica | None = None
+    deferred: Replica | None = None
 
-    def holds(self, now: float, known: float) -> bool:
-        """Whether it goes before the entry."""
-        return now - self.at <= LEARNED_SECONDS or known <= self.at
+    def is_active(self, now: float, confirmed_at: float) -> bool:
+        """Whether the report still takes precedence over the entry."""
+        return (
+            now - self.at <= REPORT_PRECEDENCE_SECONDS
+            or confirmed_at <= self.at
+        )
 
 
 @dataclass(eq=False)
-class Denials:
-    """Entries that their replicas have denied, by name of the replica."""
+class ReportOverrides:
+    """Reports that contradict registry entries, by name of the replica."""
 
-    _denials: dict[str, _Denial] = field(default_factory=dict)
+    _overrides: dict[str, _Override] = field(default_factory=dict)
 
-    def note(self, name: str, layers: LayerRange | None, now: float) -> None:
-        """Note that a replica denied to hold some layers."""
-        self._denials[name] = _Denial(layers, now)
+    def add(self, name: str, layers: LayerRange | None, now: float) -> None:
+        """Record that a replica reported not to hold some layers."""
+        self._overrides[name] = _Override(layers, now)
 
-    def forget(self, name: str) -> None:
-        """Take the entry as it is from now on."""
-        self._denials.pop(name, None)
+    def remove(self, name: str) -> None:
+        """Stop overriding the entry of a replica."""
+        self._overrides.pop(name, None)
 
-    def holds_against(
+    def defer(
         self,
         replica: Replica,
         now: float,
-        known: float,
+        confirmed_at: float,
     ) -> bool:
-        """Whether an entry says what its replica has just denied.
+        """Defer an entry that a recent report of the replica contradicts.
 
-        :param known: as of when the list was known before.
+        :param confirmed_at: when the list was last confirmed as current
+            before this entry, in monotonic seconds.
+        :returns: whether the entry is deferred.
         """
-        denial = self._denials.get(replica.name)
-        if denial is None or not denial.holds(now, known):
+        override = self._overrides.get(replica.name)
+        if override is None or not override.is_active(now, confirmed_at):
             return False
-        denied = replica.layers == denial.layers and not replica.leaving
-        denial.waiting = replica if denied else None
-        return denied
+        contradicted = replica.layers == override.layers and not replica.leaving
+        override.deferred = replica if contradicted else None
+        return contradicted
 
-    def take_due(self, now: float, known: float) -> list[Replica]:
-        """Take the entries that have said the same for long enough.
+    def pop_due(self, now: float, confirmed_at: float) -> list[Replica]:
+        """Remove the overrides that no longer apply.
 
-        :param known: as of when the list is known.
+        :param confirmed_at: when the list was last confirmed as current, in
+            monotonic seconds.
+        :returns: the entries that were deferred because of them.
         """
         due = {
-            name: denial
-            for name, denial in self._denials.items()
-            if not denial.holds(now, known)
+            name: override
+            for name, override in self._overrides.items()
+            if not override.is_active(now, confirmed_at)
         }
         for name in due:
-            del self._denials[name]
-        return [one.waiting for one in due.values() if one.waiting]
+            del self._overrides[name]
+        return [
+            expired.deferred for expired in due.values() if expired.deferred
+        ]
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_leavers.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_leavers.py
@@ -1,37 +1,38 @@
-"""Replicas that said in an answer that they leave."""
+"""Replicas that reported in a response that they are leaving."""
 
 from dataclasses import dataclass, field, replace
 
 from ryelatch_core.fleet import Replica
 
-MOST_LEAVERS = 4096
-"""Lives that are remembered; more than a fleet has replicas of one kind."""
+MAX_LEAVING = 4096
+"""Number of incarnations kept; exceeds the replicas of one kind in a fleet."""
 
 
 @dataclass(eq=False)
-class Leavers:
-    """Lives that leave by their own word, by name, the oldest word first.
+class LeavingIncarnations:
+    """Names of incarnations that reported leaving, the oldest report first.
 
-    The word stands for the rest of that life. An entry may still be ready, be
-    written once more, or lapse and come back in an outage of the store.
+    A report is valid until that incarnation terminates. The registry entry may
+    still say ready, be written once more, or expire and come back during an
+    outage of the store.
     """
 
-    _said: dict[str, None] = field(default_factory=dict)
+    _reported: dict[str, None] = field(default_factory=dict)
 
-    def note(self, name: str) -> bool:
-        """Take a replica's word.
+    def add(self, name: str) -> bool:
+        """Record that an incarnation reported leaving.
 
-        :returns: whether it is new.
+        :returns: whether that is new.
         """
-        if name in self._said:
+        if name in self._reported:
             return False
-        self._said[name] = None
-        while len(self._said) > MOST_LEAVERS:
-            self._said.pop(next(iter(self._said)))
+        self._reported[name] = None
+        while len(self._reported) > MAX_LEAVING:
+            self._reported.pop(next(iter(self._reported)))
         return True
 
     def mark(self, replica: Replica) -> Replica:
-        """Mark a replica as leaving if it said so."""
-        if replica.leaving or replica.name not in self._said:
+        """Return the replica, marked as leaving if it reported so."""
+        if replica.leaving or replica.name not in self._reported:
             return replica
         return replace(replica, leaving=True)
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_lives.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_lives.py
@@ -1,10 +1,11 @@
-"""Which life of a replica is the newest, where lives share entry or address.
-
-A replica that crashes and starts again may keep its entry in the registry, or
-come back at its address under another one while the old entry has not lapsed.
-The node then believes in layers that nobody holds: requests are refused, or
-stand still until the upstreams give up on what they wait for. Entries of
-before a crash may also be written late, after those of the life that followed.
+"""Finds the latest incarnation where several share an entry or an address.
+
+A replica that crashes and restarts may keep its entry in the registry, or
+register under a new entry at the same address before the old entry expires.
+The node would then assume layers that no process holds: requests are refused,
+or stall until the upstreams time out waiting for each other. In addition, an
+entry from before a crash may be written after the entry of the restarted
+replica.
 """
 
 import itertools
@@ -12,77 +13,81 @@
 
 from ryelatch_core.fleet import Replica, Suspects
 
-ENDED_SECONDS = 30.0
-"""How long an ended life is remembered: no stream through it lasts longer."""
+CRASHED_SECONDS = 30.0
+"""How long a crash is remembered; no stream through it lasts longer."""
 
-_MOST_SEEN = 10_000
-"""Lives whose order of appearance is kept; a fleet has some hundred."""
+_MAX_SEEN = 10_000
+"""Incarnations whose order of appearance is kept; fleets have hundreds."""
 
 
-class Lives:
-    """Tells which of the lives that can't both be there is the newest."""
+class Incarnations:
+    """Order of replicas' incarnations, and which of them have crashed."""
 
     def __init__(self) -> None:
-        self._ended = Suspects()
+        self._crashed = Suspects()
         self._seen: dict[str, int] = {}
         self._count = itertools.count()
 
-    def see(self, replica: Replica) -> None:
-        """Note that a life appeared, if it is new."""
+    def record_appearance(self, replica: Replica) -> None:
+        """Record an incarnation if it is new here."""
         if replica.name not in self._seen:
             self._seen[replica.name] = next(self._count)
-            if len(self._seen) > _MOST_SEEN:
+            if len(self._seen) > _MAX_SEEN:
                 del self._seen[next(iter(self._seen))]
 
-    def is_over(
+    def is_outdated(
         self,
         replica: Replica,
-        known: Iterable[Replica],
+        related: Iterable[Replica],
         now: float,
     ) -> bool:
-        """Whether a life has ended, or a later one is known.
+        """Whether an incarnation has crashed, or a later one has appeared.
+
+        A replica of the store that lags, or an entry that is written late,
+        may present an earlier incarnation after the later one.
 
-        A part of the store that lags tells of the earlier life after this
-        node has heard of the later one, and so do entries written late.
+        :param related: replicas of the same entry or address.
         """
-        return replica.name in self.list_ended(now) or any(
-            _exclude(other, replica) and self._age(other) > self._age(replica)
-            for other in known
+        return replica.name in self.list_crashed(now) or any(
+            _conflict(other, replica)
+            and self._find_order(other) > self._find_order(replica)
+            for other in related
         )
 
     def list_replaced(
         self,
         replica: Replica,
-        known: Iterable[Replica],
+        related: Iterable[Replica],
     ) -> list[Replica]:
-        """List the lives that have ended if this one lives."""
-        return [other for other in known if _exclude(other, replica)]
+        """List the incarnations that must have crashed if this one runs."""
+        return [other for other in related if _conflict(other, replica)]
 
-    def note_ended(self, replica: Replica, now: float) -> None:
-        """Remember that a life has ended."""
-        self._ended.add(replica.name, now + ENDED_SECONDS)
+    def record_crash(self, replica: Replica, now: float) -> None:
+        """Record that an incarnation has crashed."""
+        self._crashed.add(replica.name, now + CRASHED_SECONDS)
 
-    def list_ended(self, now: float) -> frozenset[str]:
-        """Name the lives that ended lately."""
-        return self._ended.list_names(now)
+    def list_crashed(self, now: float) -> frozenset[str]:
+        """List the names of incarnations that crashed recently."""
+        return self._crashed.list_names(now)
 
-    def _age(self, replica: Replica) -> tuple[int, int]:
-        """Sort lives by when they began, or by when they appeared here."""
+    def _find_order(self, replica: Replica) -> tuple[int, int]:
+        """Return a sort key: time of start, then order of appearance here."""
         return replica.born, self._seen.get(replica.name, 0)
 
 
-def _exclude(one: Replica, other: Replica) -> bool:
-    """Whether two lives can't be there at once.
+def _conflict(one: Replica, other: Replica) -> bool:
+    """Whether two incarnations can't both be running.
 
-    Two of one entry; and two of the same kind at one address, as only one of
-    them can listen there. An entry of another kind at the address of a
-    replica may be anyone's; whoever answers there will tell.
+    This holds for two with the same entry, and for two of the same kind at
+    one address, as only one process can listen there. An entry of another
+    kind may name the address of a replica by mistake; the process that
+    responds at the address then shows which one is right.
     """
     if one.name == other.name:
         return False
-    same_place = one.address == other.address and _sort(one) == _sort(other)
+    same_place = one.address == other.address and _kind(one) == _kind(other)
     return one.entry == other.entry or same_place
 
 
-def _sort(replica: Replica) -> tuple[str, str, str]:
+def _kind(replica: Replica) -> tuple[str, str, str]:
     return replica.service, replica.zone, replica.accelerator
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_missing.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_missing.py
@@ -1,4 +1,4 @@
-"""Entries that went while the store was in trouble, and may come back."""
+"""Registry entries that went missing during store trouble and may return."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -6,7 +6,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Span:
-    """Monotonic seconds from when an entry is missing to when it has gone."""
+    """Time in monotonic seconds for which a missing entry is kept in use.
+
+    :param since: when the entry went missing.
+    :param until: when the replica is dropped unless the entry is back.
+    """
 
     since: float
     until: float
@@ -14,16 +18,16 @@
 
 @dataclass(eq=False)
 class MissingEntries:
-    """Names of replicas whose entries are missing, each until some time.
+    """Names of replicas whose entries are missing, each with a deadline.
 
-    The time is set once: trouble that goes on, or comes again, keeps no entry
-    in use for longer.
+    The deadline is set once: trouble that goes on, or comes again, doesn't
+    keep an entry in use for longer.
     """
 
     _spans: dict[str, _Span] = field(default_factory=dict)
 
     def add(self, name: str, since: float, until: float) -> bool:
-        """Note that an entry is missing.
+        """Record that an entry is missing.
 
         :returns: whether that is new.
         """
@@ -32,23 +36,26 @@
         return new
 
     def forget(self, name: str) -> bool:
-        """Note that an entry is back, or has gone.
+        """Remove an entry that is back, or whose replica is dropped.
 
         :returns: whether it was missing.
         """
         return self._spans.pop(name, None) is not None
 
-    def pass_on(self, name: str, successor: str) -> None:
-        """Let a later life under the same entry be missing for as long."""
+    def transfer(self, name: str, successor: str) -> None:
+        """Apply the deadline to a later incarnation under the same entry."""
         span = self._spans.get(name)
         if span is not None:
             self._spans.setdefault(successor, span)
 
     def list_due(self, now: float) -> list[str]:
-        """List those that have not come back in time."""
-        return [name for name, one in self._spans.items() if one.until <= now]
+        """List the names whose deadline has passed."""
+        return [name for name, span in self._spans.items() if span.until <= now]
 
     def find_longest(self, names: Iterable[str], now: float) -> float:
-        """Tell for how many seconds the longest of some has been missing."""
+        """Return for how many seconds the first of some has been missing.
+
+        :returns: 0 if none of them is missing.
+        """
         found = (self._spans.get(name) for name in names)
-        return max((now - one.since for one in found if one), default=0)
+        return max((now - span.since for span in found if span), default=0)
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that the registry lists, and what this node saw of them."""
+"""The node's view of the replicas: registry entries, reports and failures."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -14,25 +14,25 @@
 )
 from ryelatch_core.kernel import Clock, Hub
 from ryelatch_core.membership import DepartureTerms
-from ryelatch_node.beliefs._known import Known
-from ryelatch_node.beliefs._learned import Denials
-from ryelatch_node.beliefs._leavers import Leavers
-from ryelatch_node.beliefs._lives import Lives
+from ryelatch_node.beliefs._known import Freshness
+from ryelatch_node.beliefs._learned import ReportOverrides
+from ryelatch_node.beliefs._leavers import LeavingIncarnations
+from ryelatch_node.beliefs._lives import Incarnations
 from ryelatch_node.beliefs._missing import MissingEntries
-from ryelatch_node.beliefs._roster import Roster
+from ryelatch_node.beliefs._roster import ReplicaIndex
 
 _DIGITS = 3
 
 
 @dataclass(frozen=True)
 class ReplicasChanged:
-    """The list of replicas, or what is suspected of them, is another."""
+    """The list of replicas, or the set of suspected replicas, has changed."""
 
 
 class ReplicaView:
-    """Replicas by name.
+    """Replicas that the registry lists, and which of them may get new work.
 
-    :param terms: bounds on requests to replicas that have left.
+    :param terms: time bounds on requests to replicas that have left.
     """
 
     def __init__(
@@ -42,27 +42,27 @@
         hub: Hub,
         terms: DepartureTerms,
     ) -> None:
-        self._roster = Roster()
-        self.replicas: Mapping[str, Replica] = self._roster.by_name
+        self._index = ReplicaIndex()
+        self.replicas: Mapping[str, Replica] = self._index.by_name
         self.listed = False
-        # Entries of the registry that name no replica to use.
+        # Number of registry entries that name no usable replica.
         self.refused = 0
-        self.known = Known(log, clock, terms)
+        self.known = Freshness(log, clock, terms)
         self._log = log
         self._clock = clock
         self._hub = hub
         self._suspects = Suspects()
         self._unreachable = Suspects()
         self._missing = MissingEntries()
-        self._lives = Lives()
-        self._denials = Denials()
-        self._leavers = Leavers()
-        self._leaving: dict[str, float] = {}
+        self._incarnations = Incarnations()
+        self._overrides = ReportOverrides()
+        self._reported_leaving = LeavingIncarnations()
+        self._leaving_since: dict[str, float] = {}
 
     def find_missing(self, names: Iterable[str]) -> float:
-        """Tell how long an entry of some replicas has been missing here.
+        """Return for how long an entry of some replicas has been missing.
 
-        :returns: seconds; 0 if all of them are listed.
+        :returns: seconds, the longest of them; 0 if all are listed.
         """
         return self._missing.find_longest(names, self._clock.monotonic())
 
@@ -72,40 +72,41 @@
         *,
         unanswered: float,
     ) -> None:
-        """Take a whole list.
+        """Apply a complete list of the registry's entries.
 
-        :param unanswered: when the last call was sent that the store left
-            unanswered, in monotonic seconds. Entries lapse in an outage
-            though their replicas serve on; dropping them at once would leave
-            no upstream at all. They are kept for the time in which those that
-            live come back.
+        Entries expire during an outage of the store although their replicas
+        still serve, and dropping them at once would leave no upstream at all.
+        They are kept for as long as running replicas need to register again.
+
+        :param unanswered: when the last call that the store left unanswered
+            was sent, in monotonic seconds.
         """
         fresh = {replica.entry: replica for replica in listed}
         for replica in tuple(self.replicas.values()):
             if replica.entry not in fresh:
-                self._let_go(replica.name, unanswered)
+                self._handle_missing(replica.name, unanswered)
         for replica in fresh.values():
             self._put(replica, listed=True)
         self.listed = True
         self._suspects.keep(self.replicas)
         self._unreachable.keep(self.replicas)
-        self._tell()
+        self._notify()
 
     def put(self, replica: Replica) -> None:
-        """Take an entry that is new or has changed."""
+        """Apply an entry that is new or has changed."""
         self._put(replica, listed=True)
-        self._tell()
+        self._notify()
 
     def remove(self, entry: str, *, unanswered: float) -> None:
-        """Take note that an entry has gone.
+        """Handle the deletion of an entry.
 
-        :param unanswered: as for a whole list.
+        :param unanswered: as in :meth:`replace`.
         """
-        replica = self._roster.find_entry(entry)
+        replica = self._index.find_entry(entry)
         if replica is None:
             return
-        self._let_go(replica.name, unanswered)
-        self._tell()
+        self._handle_missing(replica.name, unanswered)
+        self._notify()
 
     def learn(
         self,
@@ -113,66 +114,73 @@
         layers: LayerRange | None,
         born: int,
     ) -> None:
-        """Take what a replica says of itself before its entry tells it.
+        """Apply a replica's report, which may be newer than its entry.
 
-        A replica that has started again holds nothing, and its entry says so
-        up to two seconds later. Until then every path through it is refused.
+        A replica that has restarted holds no layers, but its entry is updated
+        up to two seconds later. Until then every path through it would be
+        refused.
 
-        :param born: when the life that spoke began; 0 if it didn't say.
+        :param layers: the layers that the replica holds.
+        :param born: start time of the incarnation that sent the report; 0 if
+            the report doesn't include it.
         """
         known = self.replicas.get(replica.name)
         if known is None or born < known.born:
             return
         if born > known.born:
             name = name_life(known.entry, born)
-            self._missing.pass_on(known.name, name)
+            self._missing.transfer(known.name, name)
             self._put(replace(known, name=name, born=born, layers=layers))
-            self._tell()
+            self._notify()
             return
         if layers == known.layers:
             return
-        self._denials.forget(known.name)
+        self._overrides.remove(known.name)
         self._put(replace(known, layers=layers))
-        self._denials.note(known.name, known.layers, self._clock.monotonic())
-        self._tell()
+        self._overrides.add(known.name, known.layers, self._clock.monotonic())
+        self._notify()
 
     def note_leaving(self, replica: Replica) -> None:
-        """Take a replica's word that it leaves; its entry takes none back."""
-        if not self._leavers.note(replica.name):
+        """Record a replica's report that it leaves.
+
+        An entry that still says ready doesn't revoke the report.
+        """
+        if not self._reported_leaving.add(replica.name):
             return
         known = self.replicas.get(replica.name)
         if known is not None:
             self._put(known)
-            self._tell()
+            self._notify()
 
     def end(self, replica: Replica) -> None:
-        """Take note that another replica answers at an address.
+        """Record a crash: another replica responds at this one's address.
 
-        Its entry stays until three of its heartbeats are missing; no request
-        can be served there meanwhile, and its layers are loaded elsewhere.
+        The entry stays until three heartbeats are missing. Without the record,
+        requests would be sent to the address meanwhile, and the replica's
+        layers would not be loaded elsewhere.
         """
         if replica.name in self.replicas:
-            self._end(replica)
-            self._tell()
+            self._mark_crashed(replica)
+            self._notify()
 
     def drop_lapsed(self) -> None:
-        """Drop the entries that did not come back in time."""
+        """Drop replicas missing for too long, and apply deferred entries."""
         now = self._clock.monotonic()
         due = self._missing.list_due(now)
         for name in due:
             self._drop(name)
-        waiting = self._denials.take_due(now, self.known.at)
+        waiting = self._overrides.pop_due(now, self.known.at)
         for replica in waiting:
             self._put(replica)
         if waiting or due:
-            self._tell()
+            self._notify()
 
     def list_service(self, service: str) -> list[Replica]:
         """List the replicas of a service that may get new work.
 
-        Those whose entries are missing for too long are left out at once, and
-        dropped when the node next keeps house: half a second of requests
-        would reach them meanwhile.
+        Replicas whose entries have been missing for too long are left out
+        even before the next housekeeping round drops them; otherwise they
+        would receive requests for up to half a second more.
         """
         due = self._missing.list_due(self._clock.monotonic())
         return [
@@ -185,11 +193,11 @@
 
     def offers(self, replica: Replica) -> bool:
         """Whether a replica may get new work now."""
-        offered = self.list_service(replica.service)
-        return any(one.name == replica.name for one in offered)
+        available = self.list_service(replica.service)
+        return any(other.name == replica.name for other in available)
 
     def list_alive(self, service: str) -> list[Replica]:
-        """List the replicas of a service that aren't taken to be lost."""
+        """List the replicas of a service that aren't considered lost."""
         lost = self.list_unreachable()
         return [
             replica
@@ -198,31 +206,32 @@
         ]
 
     def list_suspects(self) -> frozenset[str]:
-        """List the names of replicas to avoid."""
+        """List the names of replicas that are suspected at present."""
         return self._suspects.list_names(self._clock.monotonic())
 
     def list_unreachable(self) -> frozenset[str]:
-        """List the names of replicas that are taken to be lost.
+        """List the names of replicas that are considered lost.
 
-        Lives that ended are among them for as long as streams may be left
+        They include crashed incarnations for as long as there may be streams
         that pass through them.
         """
         now = self._clock.monotonic()
         lost = self._unreachable.list_names(now)
-        return lost | self._lives.list_ended(now)
+        return lost | self._incarnations.list_crashed(now)
 
     def find_leaving_since(self, name: str) -> float | None:
-        """Tell since when a replica may have been leaving.
+        """Find the earliest time at which a replica may have begun to leave.
 
-        :returns: monotonic seconds at which the list was last known not to
-            say so; nothing if the replica does not leave.
+        :returns: monotonic seconds at which the list was last confirmed as
+            current without this change; nothing if the replica isn't leaving.
         """
-        return self._leaving.get(name)
+        return self._leaving_since.get(name)
 
     def suspect(self, replica: Replica, reason: str, *, full: bool) -> None:
-        """Keep away from a replica for a while.
+        """Keep new work from a replica for a while.
 
-        :param full: whether it only had no room.
+        :param reason: for the log.
+        :param full: whether the replica responded, but had no capacity.
         """
         seconds = FULL_SECONDS if full else UNREACHABLE_SECONDS
         until = self._clock.monotonic() + seconds
@@ -236,38 +245,41 @@
                 reason=reason,
                 seconds=seconds,
             )
-            self._tell()
+            self._notify()
 
     def trust(self, replica: Replica) -> None:
-        """Take back a suspicion after an answer."""
+        """Clear the suspicion of a replica that has responded."""
         self._suspects.clear(replica.name)
         self._unreachable.clear(replica.name)
 
     def _put(self, replica: Replica, *, listed: bool = False) -> None:
-        """Take what is known of a replica.
+        """Apply the state of a replica, unless it is outdated.
 
-        :param listed: whether its entry says so. Only that ends its being
-            missing: a replica that leaves answers reports until its end.
+        :param listed: whether the state comes from the registry entry. Only
+            an entry shows that the replica isn't missing: a replica that
+            leaves responds to requests for reports until it terminates.
         """
-        replica = self._leavers.mark(replica)
-        known = self._roster.list_neighbours(replica)
-        self._lives.see(replica)
-        if self._lives.is_over(replica, known, self._clock.monotonic()):
+        replica = self._reported_leaving.mark(replica)
+        related = self._index.list_related(replica)
+        self._incarnations.record_appearance(replica)
+        if self._incarnations.is_outdated(
+            replica, related, self._clock.monotonic()
+        ):
             return
         if listed and self._missing.forget(replica.name):
             self._log.record(catalogue.REPLICA_RETURNED, replica=replica.name)
         if self.replicas.get(replica.name) == replica:
             return
         now = self._clock.monotonic()
-        if self._denials.holds_against(replica, now, self.known.at):
+        if self._overrides.defer(replica, now, self.known.at):
             return
-        for ended in self._lives.list_replaced(replica, known):
-            self._end(ended)
-        self._roster.put(replica)
+        for crashed in self._incarnations.list_replaced(replica, related):
+            self._mark_crashed(crashed)
+        self._index.put(replica)
         if replica.leaving:
-            self._leaving.setdefault(replica.name, self.known.at)
+            self._leaving_since.setdefault(replica.name, self.known.at)
         else:
-            self._leaving.pop(replica.name, None)
+            self._leaving_since.pop(replica.name, None)
         held = replica.layers
         self._log.record(
             catalogue.REPLICA_LEAVING
@@ -280,11 +292,11 @@
             layers=[held.first, held.end] if held else None,
         )
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._hub.emit(ReplicasChanged())
 
-    def _end(self, replica: Replica) -> None:
-        self._lives.note_ended(replica, self._clock.monotonic())
+    def _mark_crashed(self, replica: Replica) -> None:
+        self._incarnations.record_crash(replica, self._clock.monotonic())
         self._log.record(
             catalogue.REPLICA_ENDED,
             replica=replica.name,
@@ -292,12 +304,12 @@
         )
         self._drop(replica.name)
 
-    def _let_go(self, name: str, unanswered: float) -> None:
-        """Keep a replica for a while if its entry may have lapsed in trouble.
+    def _handle_missing(self, name: str, unanswered: float) -> None:
+        """Keep a replica for a while if its entry may have expired in trouble.
 
-        The while is counted from the last call that the store left unanswered.
-        Counted from when this node noticed, an outage that was over for four
-        seconds still kept replicas in use that had left after it.
+        The time counts from the last call that the store left unanswered. If
+        it counted from when this node noticed, an outage that had been over
+        for four seconds would still keep replicas in use that left after it.
         """
         now = self._clock.monotonic()
         until = unanswered + self.known.terms.kept
@@ -313,9 +325,9 @@
 
     def _drop(self, name: str) -> None:
         self._missing.forget(name)
-        self._denials.forget(name)
-        self._leaving.pop(name, None)
-        if self._roster.pop(name) is not None:
+        self._overrides.remove(name)
+        self._leaving_since.pop(name, None)
+        if self._index.pop(name) is not None:
             self._log.record(
                 catalogue.REPLICA_GONE,
                 replica=name,
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_roster.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_roster.py
@@ -1,4 +1,4 @@
-"""Replicas by name, and by what lives of one replica share."""
+"""Index of replicas by name, entry and address."""
 
 from dataclasses import dataclass, field
 
@@ -6,19 +6,19 @@
 
 
 @dataclass(eq=False)
-class Roster:
-    """Finds replicas by name, entry and address without looking at others.
+class ReplicaIndex:
+    """Finds replicas by name, entry or address without scanning all of them.
 
-    :param by_name: all of them.
+    :param by_name: all replicas.
     """
 
     by_name: dict[str, Replica] = field(default_factory=dict)
-    # Names as keys, as their order of appearance counts.
+    # Dictionaries of names rather than sets, to keep the order of insertion.
     _by_entry: dict[str, dict[str, None]] = field(default_factory=dict)
     _by_address: dict[str, dict[str, None]] = field(default_factory=dict)
 
     def put(self, replica: Replica) -> None:
-        """Take what is known of a replica, in place of what was."""
+        """Add a replica, or replace the one of this name."""
         known = self.by_name.get(replica.name)
         if known is not None:
             self._unlink(known)
@@ -27,9 +27,9 @@
         self._by_address.setdefault(replica.address, {})[replica.name] = None
 
     def pop(self, name: str) -> Replica | None:
-        """Forget a replica.
+        """Remove a replica.
 
-        :returns: what was known of it.
+        :returns: the replica; nothing if there was none of this name.
         """
         known = self.by_name.pop(name, None)
         if known is not None:
@@ -41,8 +41,8 @@
         names = self._by_entry.get(entry, {})
         return next((self.by_name[name] for name in names), None)
 
-    def list_neighbours(self, replica: Replica) -> list[Replica]:
-        """List the others of the same entry or address."""
+    def list_related(self, replica: Replica) -> list[Replica]:
+        """List the other replicas with the same entry or address."""
         names = self._by_entry.get(replica.entry, {}) | self._by_address.get(
             replica.address, {}
         )
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
@@ -1,4 +1,4 @@
-"""The views as services of a node."""
+"""Adds the views of the configuration and the replicas to a node."""
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, Service
--- a/tests/node/beliefs/test_lives.py
+++ b/tests/node/beliefs/test_lives.py
@@ -1,4 +1,4 @@
-"""What a node believes of replicas that start again."""
+"""The view of replicas that restart, by their entries and reports."""
 
 from dataclasses import replace
 
@@ -37,37 +37,38 @@
 
 
 def test_later_life_replaces_the_earlier() -> None:
-    """A replica starts again under its entry.
+    """A replica restarts under its entry.
 
-    What was seen of the earlier life, such as that it could not be reached,
-    would keep work and orders from the later one for seconds.
+    Failures of the earlier incarnation, such as an unreachable address, must
+    not keep work and commands from the later one for seconds.
     """
     view, _ = _make_view()
     first = _make(born=1000)
     view.put(first)
     view.suspect(first, 'no report', full=False)
     view.put(_make(born=2000, layers=None))
-    assert [one.born for one in view.list_alive('model')] == [2000]
+    assert [replica.born for replica in view.list_alive('model')] == [2000]
     assert first.name in view.list_unreachable()
 
 
 def test_older_life_after_a_newer_one_is_ignored() -> None:
-    """A part of the store lags: it tells of the life before the crash.
+    """A lagging replica of the store lists the incarnation before a crash.
 
-    Taken for new, layers that nobody holds would get requests again.
+    If it replaced the later one, requests would again be sent to layers that
+    no process holds.
     """
     view, _ = _make_view()
     view.put(_make(born=2000, layers=None))
     view.put(_make(born=1000))
     view.replace([_make(born=1000)], unanswered=NEVER)
-    assert [one.layers for one in view.replicas.values()] == [None]
+    assert [replica.layers for replica in view.replicas.values()] == [None]
 
 
 def test_new_entry_at_an_address_ends_the_old_one() -> None:
-    """A replica comes back at its address under another entry.
+    """A replica restarts at its address under another entry.
 
-    The old entry stays for three heartbeats. Paths that passed through both
-    were refused, as the same address came twice.
+    The old entry stays for three heartbeats. A path through both would be
+    refused, as it has the same address twice.
     """
     view, _ = _make_view()
     view.put(_make('i-1'))
@@ -76,9 +77,9 @@
 
 
 def test_late_entry_of_before_a_crash_is_ignored() -> None:
-    """An entry written before a crash arrives after that of the next life.
+    """An entry from before a crash arrives after the next incarnation's entry.
 
-    It was cut off from the registry meanwhile and makes its entry anew.
+    The replica was cut off from the registry, and its write arrives late.
     """
     view, _ = _make_view()
     view.put(_make('i-1'))
@@ -89,7 +90,7 @@
 
 
 def test_entry_of_another_kind_ends_nobody() -> None:
-    """Someone else writes an entry with the address of a sound replica."""
+    """An entry of another kind has the address of a running replica."""
     view, _ = _make_view()
     view.put(_make('i-1'))
     view.put(replace(_make('i-2'), service='booking', accelerator=''))
@@ -97,10 +98,10 @@
 
 
 def test_report_is_believed_before_the_entry() -> None:
-    """A report denies what the entry says, which is written again just then.
+    """An entry that contradicts a report is written again shortly after it.
 
-    The replica has started again and holds nothing; its entry tells so a
-    second later.
+    The replica has restarted and holds nothing; its entry is updated a second
+    later.
     """
     view, clock = _make_view()
     view.put(_make())
@@ -114,10 +115,11 @@
 
 
 def test_entry_heard_late_is_not_believed() -> None:
-    """The store is silent while a replica starts again and says it is empty.
+    """A replica restarts and reports no layers while the store doesn't respond.
 
-    The entry of before is heard three seconds later, when the store is back.
-    Every path through the replica was refused until the next entry came.
+    The earlier entry arrives three seconds later, when the store is back. If
+    it were applied, every path through the replica would be refused until the
+    next entry.
     """
     view, clock = _make_view()
     view.put(_make(layers=LayerRange(0, 4)))
@@ -134,26 +136,26 @@
 
 
 def test_report_of_a_later_life_makes_it_known() -> None:
-    """A report tells that a replica started again before its entry does."""
+    """A report shows that a replica restarted before its entry does."""
     view, _ = _make_view()
     view.put(_make(born=1000))
     known = next(iter(view.replicas.values()))
     view.learn(known, None, 2000)
     view.put(_make(born=1000))
-    assert [one.born for one in view.replicas.values()] == [2000]
+    assert [replica.born for replica in view.replicas.values()] == [2000]
 
 
 def test_late_report_of_before_is_ignored() -> None:
-    """A report comes late: the replica has started again meanwhile."""
+    """A report arrives after the replica has restarted."""
     view, _ = _make_view()
     view.put(_make(born=2000, layers=None))
     known = next(iter(view.replicas.values()))
     view.learn(known, _HELD, 1000)
-    assert [one.layers for one in view.replicas.values()] == [None]
+    assert [replica.layers for replica in view.replicas.values()] == [None]
 
 
 def test_ended_life_does_not_come_back() -> None:
-    """Another replica answers at an address; the entry is listed for long."""
+    """Another replica responds at the address while the entry stays listed."""
     view, _ = _make_view()
     view.put(_make())
     view.end(view.replicas['i-1'])
--- a/tests/node/beliefs/test_missing.py
+++ b/tests/node/beliefs/test_missing.py
@@ -1,4 +1,4 @@
-"""Entries that are missing since some trouble, and when they are left."""
+"""How long replicas whose entries went missing in trouble stay in use."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,10 +20,10 @@
     for name in ('i-1', 'i-2'):
         view.put(_make(name))
 
-    def offer() -> list[str]:
-        return [one.name for one in view.list_service('booking')]
+    def list_available() -> list[str]:
+        return [replica.name for replica in view.list_service('booking')]
 
-    return view, clock, offer
+    return view, clock, list_available
 
 
 def _make(name: str, *, leaving: bool = False) -> Replica:
@@ -42,90 +42,91 @@
 
 
 def test_entry_is_left_on_time() -> None:
-    """A kept entry's time is over between two rounds of housekeeping.
+    """A missing entry's deadline passes between two housekeeping rounds.
 
-    Requests reached its replica for up to half a second more.
+    Its replica would receive requests until the next round, half a second
+    later.
     """
-    view, clock, offer = _make_view()
+    view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=99)
     clock.now = 99 + view.known.terms.kept - 0.01
-    assert offer() == ['i-1', 'i-2']
+    assert list_available() == ['i-1', 'i-2']
     clock.now += 0.02
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_late_notice_keeps_nothing() -> None:
-    """An outage is noticed four seconds after the call that found it."""
-    view, _, offer = _make_view()
+    """An outage is noticed four seconds after the call left unanswered."""
+    view, _, list_available = _make_view()
     view.remove('i-1', unanswered=96)
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_no_trouble_keeps_nothing() -> None:
-    view, _, offer = _make_view()
+    view, _, list_available = _make_view()
     view.remove('i-1', unanswered=NEVER)
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_replica_that_said_it_leaves_is_not_kept() -> None:
-    view, _, offer = _make_view()
+    view, _, list_available = _make_view()
     view.put(_make('i-1', leaving=True))
     view.remove('i-1', unanswered=100)
     view.put(_make('i-1'))
-    assert offer() == ['i-2', 'i-1']
+    assert list_available() == ['i-2', 'i-1']
 
 
 def test_trouble_that_goes_on_keeps_no_longer() -> None:
-    """Calls fail now and then for minutes, and the entry stays missing."""
-    view, clock, offer = _make_view()
+    """Calls fail repeatedly for minutes while the entry stays missing."""
+    view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=100)
     clock.now = 101.5
     view.replace([_make('i-2')], unanswered=101.4)
-    assert offer() == ['i-1', 'i-2']
+    assert list_available() == ['i-1', 'i-2']
     clock.now = 100 + view.known.terms.kept
     view.replace([_make('i-2')], unanswered=102.2)
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_entry_that_is_back_stays() -> None:
-    view, clock, offer = _make_view()
+    view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=100)
     clock.now = 101.5
     assert view.find_missing(['i-1', 'i-2']) == pytest.approx(1.5)
     view.put(_make('i-1'))
     clock.now = 110
     view.drop_lapsed()
-    assert offer() == ['i-1', 'i-2']
+    assert list_available() == ['i-1', 'i-2']
 
 
 def test_report_is_no_entry() -> None:
-    """A replica left without a word, and answers reports while it ends.
+    """A replica left without announcing it, and still sends reports.
 
-    What it said of itself was taken for its entry's return. It stayed in use
-    for good, as its entry could not go a second time.
+    If a report counted as the return of its entry, the replica would stay in
+    use forever, as the entry can't be deleted a second time.
     """
-    view, clock, offer = _make_view()
+    view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=99.9)
     view.learn(view.replicas['i-1'], LayerRange(0, 4), 0)
     clock.now += 5
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_report_of_a_later_life_is_no_entry() -> None:
-    """A replica whose entry is missing starts again, and its report says so."""
-    view, clock, offer = _make_view()
+    """A replica whose entry is missing reports that it has restarted."""
+    view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=99.9)
     view.learn(view.replicas['i-1'], None, 2000)
-    assert offer() == ['i-2', name_life('i-1', 2000)]
+    assert list_available() == ['i-2', name_life('i-1', 2000)]
     clock.now += 5
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
     view.drop_lapsed()
     assert list(view.replicas) == ['i-2']
 
 
 def test_denied_entry_does_not_bring_back() -> None:
-    """An entry that its replica denied waits, and goes while it does."""
-    view, clock, offer = _make_view()
+    """An entry that a report contradicts is deferred, then deleted."""
+    view, clock, list_available = _make_view()
     view.put(replace(_make('i-1'), layers=LayerRange(0, 4)))
     view.learn(view.replicas['i-1'], None, 0)
     view.put(replace(_make('i-1'), layers=LayerRange(0, 4)))
@@ -134,11 +135,15 @@
     view.known.confirm(clock.now)
     view.drop_lapsed()
     clock.now += 5
-    assert offer() == ['i-2']
+    assert list_available() == ['i-2']
 
 
 def test_leaving_is_dated_by_earlier_knowledge() -> None:
-    """A node hears late that a replica leaves; its streams have less time."""
+    """A node learns late that a replica leaves, so its streams have less time.
+
+    The time of leaving is then the last one at which the list was confirmed
+    without it, not the time of arrival.
+    """
     view, clock, _ = _make_view()
     view.known.confirm(100)
     clock.now = 101.2
--- a/tests/node/beliefs/test_roster.py
+++ b/tests/node/beliefs/test_roster.py
@@ -1,4 +1,4 @@
-"""What it costs to follow the registry of a large fleet."""
+"""Cost of applying registry changes in a large fleet."""
 
 import sys
 from types import FrameType
@@ -12,8 +12,8 @@
 from ryelatch_node.beliefs import ReplicaView
 
 _CHANGES = 20
-_MORE = 1.5
-"""Factor by which calls of functions may be more with twenty times as many."""
+_MAX_RATIO = 1.5
+"""Limit on the ratio of function calls with twenty times as many replicas."""
 
 
 def _make_replica(number: int, slots: int = 6) -> Replica:
@@ -23,7 +23,7 @@
 
 
 def _count_calls(fleet: int) -> int:
-    """Count the calls of functions as some entries change and others go."""
+    """Count function calls while entries change, are added and are removed."""
     clock = FakeClock()
     log = LineLog('node', clock, len)
     view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
@@ -48,5 +48,5 @@
 
 
 def test_change_costs_no_more_in_a_large_fleet() -> None:
-    """Each entry that changed was held against all others."""
-    assert _count_calls(2000) < _MORE * _count_calls(100)
+    """Each entry that changes must not be compared with all others."""
+    assert _count_calls(2000) < _MAX_RATIO * _count_calls(100)
