--- a/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
@@ -1,4 +1,4 @@
-"""What the store says, by way of peers."""
+"""Shares the store's changes among nodes, so that few of them watch it."""
 
 from ryelatch_node.news._frames import Change, PermitQuestion, PermitReply
 from ryelatch_node.news._line import FAILURES, Line, open_line
--- a/packages/ryelatch-node/src/ryelatch_node/news/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_frames.py
@@ -1,4 +1,4 @@
-"""What nodes ask each other of the store, as a stream of msgpack frames."""
+"""Requests and replies between nodes, as a stream of msgpack frames."""
 
 import asyncio
 import zlib
@@ -8,43 +8,48 @@
 
 from ryelatch_core.membership import NodeEntry
 
-MOST_BYTES = 4_194_304
-"""Longest frame that is read; a change of a thousand entries has 400 kB."""
+MAX_FRAME_BYTES = 4_194_304
+"""Longest frame that is read; a thousand changed entries take 400 kB."""
 
 _LENGTH_BYTES = 4
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 
 
-Span = Annotated[float, msgspec.Meta(ge=0)]
-"""Seconds; less than none would date knowledge into the future, and keys that
-were taken away be accepted meanwhile."""
+Duration = Annotated[float, msgspec.Meta(ge=0)]
+"""Seconds, not negative.
+
+A negative age would date a confirmation into the future, and revoked keys
+would be accepted until then.
+"""
 
 Revision = Annotated[int, msgspec.Meta(ge=-1)]
-"""Of the store; -1 where nothing is known."""
+"""Revision of the store; -1 if none is known."""
 
 
-Pace = Annotated[float, msgspec.Meta(ge=0)]
-"""Requests a second."""
+RequestRate = Annotated[float, msgspec.Meta(ge=0)]
+"""Requests per second."""
 
-_LONGEST_NAME = 256
+_MAX_NAME_LENGTH = 256
 
-LifeName = Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_NAME)]
-"""Of a replica's life; an entry's name and when it began."""
+IncarnationName = Annotated[
+    str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)
+]
+"""Name of an incarnation of a replica: entry name and start time."""
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """An object that was written or deleted, as the store told of it."""
+    """An object that was written or deleted, as received from the store."""
 
     content: bytes
     deleted: bool
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True, tag='watch'):
-    """A watch of a kind of object.
+class WatchRequest(msgspec.Struct, frozen=True, array_like=True, tag='watch'):
+    """Requests the changes of a kind of object, as a long poll.
 
-    :param since: revision of the store from which changes are wanted.
-    :param wait: seconds after which an answer is wanted anyway.
-    :param whole: whether large changes are wanted too, as the asker can't
+    :param since: revision of the store after which changes are requested.
+    :param wait: seconds after which to reply even if nothing has changed.
+    :param whole: whether to include large changes, as the requester can't
         read them from the store.
     """
 
@@ -57,122 +62,134 @@
 class PermitQuestion(
     msgspec.Struct, frozen=True, array_like=True, tag='permit'
 ):
-    """A question for leave to send a request to a replica.
+    """Requests permission to send a request to a replica.
 
-    :param replica: name of its life.
-    :param limit: what it said of its limit last, as far as the asker knows;
-        nothing if it has none any more, which is told and asks for nothing.
-    :param age: seconds since it said so.
+    :param replica: name of the replica's incarnation.
+    :param limit: the rate limit that the replica last reported to the
+        requester; nothing if it has no limit any more, in which case the
+        frame only announces that and requests no permit.
+    :param age: seconds since the replica reported it.
     """
 
-    replica: LifeName
-    limit: Pace | None
-    age: Span
+    replica: IncarnationName
+    limit: RequestRate | None
+    age: Duration
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True):
-    """Whether a request may be sent.
+    """Grants or denies permission to send a request.
 
-    :param wait: seconds until there is leave again, where there is none.
-    :param limit: what the replica said last, as far as the limiter knows;
-        nothing if it has no limit any more.
-    :param age: seconds since it said so.
+    :param wait: if denied, seconds until a permit is available again.
+    :param limit: the rate limit that the replica last reported, as far as the
+        limiting node knows; nothing if it has no limit any more.
+    :param age: seconds since the replica reported it.
     """
 
     granted: bool
-    wait: Span
-    limit: Pace | None
-    age: Span
+    wait: Duration
+    limit: RequestRate | None
+    age: Duration
 
 
-class Greeting(msgspec.Struct, frozen=True, array_like=True, tag='greeting'):
-    """Word to a node that may have started while the store was out.
+class BootstrapMessage(
+    msgspec.Struct, frozen=True, array_like=True, tag='greeting'
+):
+    """Introduces a node to one that may have started during a store outage.
 
-    :param name: of the node that greets, and may be asked.
-    :param nodes: all that there are; none to ask only what the other knows.
+    :param name: of the sending node, which accepts list requests.
+    :param nodes: all nodes; empty to query only whether the receiver already
+        has the state it needs.
     """
 
     name: str
     nodes: tuple[NodeEntry, ...] = ()
 
 
-class GreetingReply(msgspec.Struct, frozen=True, array_like=True):
-    """Whether the node that was greeted knows what it needs."""
+class BootstrapReply(msgspec.Struct, frozen=True, array_like=True):
+    """Reports whether the receiver has the state it needs to serve.
+
+    :param knows: false if it still has to list objects from a peer.
+    """
 
     knows: bool
 
 
-class WholeQuestion(msgspec.Struct, frozen=True, array_like=True, tag='whole'):
-    """A question for all objects of a kind."""
+class ListRequest(msgspec.Struct, frozen=True, array_like=True, tag='whole'):
+    """Requests all objects of a kind."""
 
     kind: str
 
 
-class WholeReply(msgspec.Struct, frozen=True, array_like=True):
+class ListReply(msgspec.Struct, frozen=True, array_like=True):
     """All objects of a kind.
 
-    :param known: whether the node knows them, and they may be passed on.
-    :param at: revision as of which they are known.
-    :param age: seconds since it knew that nothing else had changed.
+    :param known: whether the node has them, and they fit a frame.
+    :param at: revision of the store that they correspond to.
+    :param age: seconds since they were last confirmed as current.
     :param packed: the objects, see :func:`pack`.
-    :param unanswered: as for a watch.
+    :param unanswered: as in :class:`WatchReply`.
     """
 
     known: bool
     at: Revision = 0
-    age: Span = 0
+    age: Duration = 0
     packed: bytes = b''
-    unanswered: Span | None = None
+    unanswered: Duration | None = None
 
 
-class Reply(msgspec.Struct, frozen=True, array_like=True):
-    """What a node knows of a kind.
+class WatchReply(msgspec.Struct, frozen=True, array_like=True):
+    """Changes of a kind of object.
 
-    :param covered: whether it knows all changes since the revision.
-    :param at: revision up to which it knows them.
-    :param waited: seconds from the question to this reply.
-    :param age: seconds since it knew that nothing else had changed.
+    :param covered: whether all changes since the requested revision are
+        included.
+    :param at: revision of the store up to which they are.
+    :param waited: seconds from the arrival of the request to this reply.
+    :param age: seconds since the state was last confirmed as current.
     :param packed: the changes, see :func:`pack`.
-    :param unanswered: seconds since it last made a call that the store left
-        unanswered; nothing if there was none.
-    :param out: whether the store is out for it.
+    :param unanswered: seconds since the replying node sent the last call that
+        the store left unanswered; nothing if there was none.
+    :param out: whether the store is unavailable to the replying node.
     """
 
     covered: bool
     at: Revision = 0
-    waited: Span = 0
-    age: Span = 0
+    waited: Duration = 0
+    age: Duration = 0
     packed: bytes = b''
-    unanswered: Span | None = None
+    unanswered: Duration | None = None
     out: bool = False
 
 
 def pack(changes: tuple[Change, ...]) -> bytes:
-    """Compress changes: a registration in a run of them takes 41 bytes."""
+    """Serialize and compress changes.
+
+    In a series of registrations, each takes 41 bytes.
+    """
     if not changes:
         return b''
-    return zlib.compress(msgspec.msgpack.encode(changes), _LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(changes), _COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> tuple[Change, ...]:
-    """Read changes.
+    """Decompress and parse changes.
 
-    :raises ValueError: if these bytes are none, or too many once unpacked.
+    :raises ValueError: if the bytes are not changes, or are longer than a
+        frame may be once decompressed.
     """
     if not packed:
         return ()
     reader = zlib.decompressobj()
     try:
-        body = reader.decompress(packed, MOST_BYTES)
+        body = reader.decompress(packed, MAX_FRAME_BYTES)
     except zlib.error as error:
-        raise ValueError('changes that are not compressed') from error
+        raise ValueError('changes are not compressed with zlib') from error
     if not reader.eof:
-        raise ValueError('changes that are too long or cut off')
+        raise ValueError('changes are too long or truncated')
     return msgspec.msgpack.decode(body, type=tuple[Change, ...])
 
 
 def encode(frame: msgspec.Struct) -> bytes:
-    """Write a frame with its length in front."""
+    """Serialize a frame, preceded by its length."""
     body = msgspec.msgpack.encode(frame)
     return len(body).to_bytes(_LENGTH_BYTES) + body
 
@@ -180,10 +197,10 @@
 async def read_body(reader: asyncio.StreamReader) -> bytes:
     """Read the body of a frame.
 
-    :raises ValueError: if it says that it is too long.
+    :raises ValueError: if the frame is longer than allowed.
     :raises EOFError: if the stream ends.
     """
     length = int.from_bytes(await reader.readexactly(_LENGTH_BYTES))
-    if length > MOST_BYTES:
-        raise ValueError(f'a frame of {length} bytes')
+    if length > MAX_FRAME_BYTES:
+        raise ValueError(f'frame too long: {length} bytes')
     return await reader.readexactly(length)
--- a/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
@@ -1,8 +1,9 @@
-"""Greets nodes that start while the store is out.
+"""Introduces nodes that start during a store outage to their peers.
 
-Such a node knows no peer, and the store that would name them is silent. Its
-peers know where it was: each greets the node that comes after it by name, and
-tells it which nodes there are and that it may be asked.
+Such a node has no peers, as it can't read their list from the store. The
+running nodes still have its address: each contacts the node that follows it in
+the order of names, sends it the list of nodes and offers to answer its
+requests.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import Greeting, GreetingReply
+from ryelatch_node.news._frames import BootstrapMessage, BootstrapReply
 from ryelatch_node.news._line import (
     CONNECT_SECONDS,
     FAILURES,
@@ -24,109 +25,126 @@
     open_line,
 )
 
-GREET_SECONDS = 0.2
-"""How often this node looks whether there is one to greet."""
+BOOTSTRAP_INTERVAL_SECONDS = 0.2
+"""Interval of checks whether a node may have started."""
 
-LOST_SECONDS = 5.0
-"""How long a node that was lost is looked for, as it may start again."""
+RESTART_SECONDS = 5.0
+"""How long to keep contacting a lost node, as it may restart."""
 
-MOST_PASSED = 4
-"""Nodes that are passed over as they can't be reached."""
+MAX_SKIPPED_NODES = 4
+"""Number of nodes tried in one round while none of them can be reached."""
 
 _REPLY_SECONDS = 0.4
 
 
 @dataclass(eq=False)
-class Greeter:
-    """Greets the next node that can be reached.
+class Bootstrapper:
+    """Contacts the next node that can be reached, in the order of names.
 
-    It holds a connection to that one, which breaks as the node ends; where
-    power was lost nothing tells, so all are asked while the store is out.
+    It keeps a connection to that node, which breaks when the node's process
+    terminates. A loss of power doesn't break the connection, so the node is
+    contacted regularly while the store is unavailable.
 
-    :param me: name of this node.
+    :param local_name: name of this node.
     :param list_nodes: lists all nodes, this one included.
-    :param knows: whether this node knows what others may need.
-    :param is_out: whether the store is out.
+    :param is_synced: whether this node has the state that others may need.
+    :param is_store_out: whether the store is unavailable to this node.
     """
 
     log: LineLog
-    me: str
+    local_name: str
     dial: Dial
     list_nodes: Callable[[], Sequence[NodeEntry]]
-    knows: Callable[[], bool]
-    is_out: Callable[[], bool]
+    is_synced: Callable[[], bool]
+    is_store_out: Callable[[], bool]
     clock: Clock
-    _line: Line | None = None
-    _looks_until: float = 0
+    _connection: Line | None = None
+    _search_until: float = 0
 
     async def run(self) -> None:
-        """Greet whoever may have started."""
+        """Contact the next node whenever it may have started."""
         try:
             while True:
-                await asyncio.sleep(GREET_SECONDS)
-                if self.knows() and self._may_be_missed():
-                    await self._greet_next()
+                await asyncio.sleep(BOOTSTRAP_INTERVAL_SECONDS)
+                if self.is_synced() and self._is_due():
+                    await self._contact_successor()
         finally:
             self._drop()
 
-    def _may_be_missed(self) -> bool:
-        """Whether a node may have started since the last greeting."""
+    def _is_due(self) -> bool:
+        """Whether a node may have started since the last contact."""
         now = self.clock.monotonic()
-        if self._line is not None and self._line.lost:
-            self._looks_until = now + LOST_SECONDS
-        return self.is_out() or self._line is None or now < self._looks_until
-
-    async def _greet_next(self) -> None:
-        following = list_following(self.me, self.list_nodes())
-        for peer in itertools.islice(following, MOST_PASSED):
-            if await self._greet(peer):
+        if self._connection is not None and self._connection.lost:
+            self._search_until = now + RESTART_SECONDS
+        return (
+            self.is_store_out()
+            or self._connection is None
+            or now < self._search_until
+        )
+
+    async def _contact_successor(self) -> None:
+        successors = list_successors(self.local_name, self.list_nodes())
+        for peer in itertools.islice(successors, MAX_SKIPPED_NODES):
+            if await self._contact(peer):
                 return
 
-    async def _greet(self, peer: NodeEntry) -> bool:
-        """Greet a node.
+    async def _contact(self, peer: NodeEntry) -> bool:
+        """Contact a node, and send it the list of nodes if it needs it.
 
-        :returns: whether it answered.
+        :returns: whether it replied.
         """
         try:
             async with asyncio.timeout(CONNECT_SECONDS + _REPLY_SECONDS):
-                line = await self._open(peer)
-                if await self._tell(line, Greeting(self.me)):
+                connection = await self._open(peer)
+                if await self._send(
+                    connection, BootstrapMessage(self.local_name)
+                ):
                     return True
-                await self._tell(
-                    line, Greeting(self.me, tuple(self.list_nodes()))
+                await self._send(
+                    connection,
+                    BootstrapMessage(self.local_name, tuple(self.list_nodes())),
                 )
         except FAILURES:
-            # Timeouts are among them. It may be down, and the next one isn't.
+            # Timeouts included. The node may be down; the next may be up.
             self._drop()
             return False
         self.log.record(catalogue.NODE_GREETED, peer=peer.name)
         return True
 
     async def _open(self, peer: NodeEntry) -> Line:
-        line = self._line
-        if line is None or line.lost or line.address != peer.address:
+        connection = self._connection
+        if (
+            connection is None
+            or connection.lost
+            or connection.address != peer.address
+        ):
             self._drop()
-            line = await open_line(self.dial, peer.address)
-            self._line = line
-        return line
+            connection = await open_line(self.dial, peer.address)
+            self._connection = connection
+        return connection
 
-    async def _tell(self, line: Line, greeting: Greeting) -> bool:
-        """Tell a node who greets.
+    async def _send(self, connection: Line, message: BootstrapMessage) -> bool:
+        """Send a message to a node.
 
-        :returns: whether it knows what it needs.
+        :returns: whether the node has the state it needs to serve.
         """
-        reply = await line.ask(greeting)
-        return msgspec.msgpack.decode(reply, type=GreetingReply).knows
+        reply = await connection.ask(message)
+        return msgspec.msgpack.decode(reply, type=BootstrapReply).knows
 
     def _drop(self) -> None:
-        if self._line is not None:
-            self._line.drop()
-            self._line = None
+        if self._connection is not None:
+            self._connection.drop()
+            self._connection = None
 
 
-def list_following(me: str, nodes: Sequence[NodeEntry]) -> list[NodeEntry]:
-    """List the nodes in the order of names, from the one after this node."""
+def list_successors(
+    local_name: str, nodes: Sequence[NodeEntry]
+) -> list[NodeEntry]:
+    """List the other nodes in cyclic order of names, starting after this one.
+
+    :param local_name: name of this node.
+    """
     return sorted(
-        (one for one in nodes if one.address and one.name != me),
-        key=lambda one: (one.name <= me, one.name),
+        (node for node in nodes if node.address and node.name != local_name),
+        key=lambda node: (node.name <= local_name, node.name),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
@@ -1,4 +1,4 @@
-"""What a node learns from a peer if it starts while the store is out."""
+"""Initial state from a peer, for a node that starts during a store outage."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news._frames import (
-    Greeting,
-    GreetingReply,
-    WholeQuestion,
-    WholeReply,
+    BootstrapMessage,
+    BootstrapReply,
+    ListReply,
+    ListRequest,
     unpack,
 )
 from ryelatch_node.news._line import (
@@ -24,79 +24,80 @@
 )
 from ryelatch_node.news._memory import Heard
 
-WHOLE_SECONDS = 0.7
-"""How long all objects of a kind may take; they may be two megabytes."""
+LIST_SECONDS = 0.7
+"""Longest wait for all objects of a kind, which may be two megabytes."""
 
 
 @dataclass(eq=False)
 class Introduction:
-    """The peer that greeted this node, and may be asked for all it knows.
+    """Receives bootstrap messages, and lists objects from their sender.
 
-    :param knows: whether this node has learned what it needs to serve.
-    :param learn: takes the nodes that a peer has named.
-    :param greeted: set while there is such a peer.
+    :param is_synced: whether this node has the state it needs to serve.
+    :param accept_nodes: called with the list of nodes that a peer sent.
+    :param greeted: set while there is a peer to list objects from.
     """
 
     log: LineLog
     clock: Clock
     dial: Dial
-    knows: Callable[[], bool]
-    learn: Callable[[tuple[NodeEntry, ...]], None]
+    is_synced: Callable[[], bool]
+    accept_nodes: Callable[[tuple[NodeEntry, ...]], None]
     greeted: asyncio.Event = field(default_factory=asyncio.Event)
-    _greeter: NodeEntry | None = None
+    _source: NodeEntry | None = None
 
-    def take(self, greeting: Greeting) -> GreetingReply:
-        """Take a greeting, if this node has use for it."""
-        nodes = {one.name: one for one in greeting.nodes}
-        greeter = nodes.get(greeting.name)
-        if greeter is not None and not self.knows():
-            self._greeter = greeter
-            self.learn(greeting.nodes)
+    def handle_message(self, message: BootstrapMessage) -> BootstrapReply:
+        """Use the sender as the source of state, if this node needs one."""
+        nodes = {node.name: node for node in message.nodes}
+        source = nodes.get(message.name)
+        if source is not None and not self.is_synced():
+            self._source = source
+            self.accept_nodes(message.nodes)
             self.log.record(
-                catalogue.GREETING_TAKEN, peer=greeter.name, nodes=len(nodes)
+                catalogue.GREETING_TAKEN, peer=source.name, nodes=len(nodes)
             )
             self.greeted.set()
-        return GreetingReply(self.knows())
+        return BootstrapReply(self.is_synced())
 
     async def ask_whole(self, kind: str) -> Heard | None:
-        """Ask the peer that greeted this node for all objects of a kind.
+        """Request all objects of a kind from the peer that made contact.
 
-        :returns: nothing if none did, or it is of no use; another may greet.
+        :returns: nothing if no peer has, or if the request fails; this node
+            then waits for a message from another peer.
         """
-        peer = self._greeter
+        peer = self._source
         if peer is None:
             return None
-        asked = self.clock.monotonic()
+        sent = self.clock.monotonic()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS + WHOLE_SECONDS):
-                reply = await self._exchange(peer, WholeQuestion(kind))
+            async with asyncio.timeout(CONNECT_SECONDS + LIST_SECONDS):
+                reply = await self._exchange(peer, ListRequest(kind))
             changes = unpack(reply.packed)
         except FAILURES as error:
-            # Timeouts are among them.
-            self._leave(peer, kind, type(error).__name__)
+            # Timeouts included.
+            self._abandon(peer, kind, type(error).__name__)
             return None
         if not reply.known:
-            self._leave(peer, kind, 'unknown')
+            self._abandon(peer, kind, 'unknown')
             return None
         unanswered = (
-            None if reply.unanswered is None else asked - reply.unanswered
+            None if reply.unanswered is None else sent - reply.unanswered
         )
-        return Heard(reply.at, asked - reply.age, changes, unanswered)
+        return Heard(reply.at, sent - reply.age, changes, unanswered)
 
     async def _exchange(
         self,
         peer: NodeEntry,
-        question: WholeQuestion,
-    ) -> WholeReply:
-        line = await open_line(self.dial, peer.address)
+        request: ListRequest,
+    ) -> ListReply:
+        connection = await open_line(self.dial, peer.address)
         try:
-            body = await line.ask(question)
+            body = await connection.ask(request)
         finally:
-            line.drop()
-        return msgspec.msgpack.decode(body, type=WholeReply)
+            connection.drop()
+        return msgspec.msgpack.decode(body, type=ListReply)
 
-    def _leave(self, peer: NodeEntry, kind: str, reason: str) -> None:
-        self._greeter = None
+    def _abandon(self, peer: NodeEntry, kind: str, reason: str) -> None:
+        self._source = None
         self.greeted.clear()
         self.log.record(
             catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
--- a/packages/ryelatch-node/src/ryelatch_node/news/_line.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_line.py
@@ -1,4 +1,4 @@
-"""A connection to a peer, for one question at a time."""
+"""A connection to a peer, for one request at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,21 +10,21 @@
 from ryelatch_node.news._frames import encode, read_body
 
 CONNECT_SECONDS = 0.3
-"""Longest wait for a connection to a peer; in a region it takes 2 ms."""
+"""Longest wait for a connection to a peer; within a region it takes 2 ms."""
 
 Dial: TypeAlias = Callable[
     [str, int],
     Awaitable[tuple[asyncio.StreamReader, asyncio.StreamWriter]],
 ]
-"""Opens a connection to a host and port."""
+"""Function that opens a connection to a host and port."""
 
 FAILURES = (OSError, EOFError, ValueError, msgspec.MsgspecError)
-"""What may become of a question; timeouts are among them."""
+"""Exceptions that a failed request raises; timeouts are among them."""
 
 
 @dataclass(eq=False)
 class Line:
-    """An open connection.
+    """An open connection to a peer.
 
     :param address: ``host:port`` of the peer.
     """
@@ -35,29 +35,30 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the peer has closed it, or it broke."""
+        """Whether the peer closed the connection, or it broke."""
         reader = self.reader
         return reader.at_eof() or reader.exception() is not None
 
-    async def ask(self, question: msgspec.Struct) -> bytes:
-        """Ask a question and read the body of the reply.
+    async def ask(self, request: msgspec.Struct) -> bytes:
+        """Send a request and read the body of the reply.
 
         :raises OSError: if the connection is lost.
         :raises EOFError: if the peer closes it.
-        :raises ValueError: if the reply is no frame.
+        :raises ValueError: if the reply is longer than a frame may be.
         """
-        self.writer.write(encode(question))
+        self.writer.write(encode(request))
         await self.writer.drain()
         return await read_body(self.reader)
 
     def drop(self) -> None:
-        """Close at once; a reply that is still to come is not wanted."""
+        """Close at once, without waiting for an outstanding reply."""
         self.writer.transport.abort()
 
 
 async def open_line(dial: Dial, address: str) -> Line:
     """Connect to a peer.
 
+    :param address: ``host:port`` of the peer.
     :raises OSError: if it can't be reached in time.
     """
     host, _, port = address.rpartition(':')
--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
@@ -1,4 +1,4 @@
-"""What a node has lately heard of a kind of object, for those who ask."""
+"""Cache of the store's objects and recent changes, from which peers watch."""
 
 import asyncio
 from collections import deque
@@ -7,44 +7,46 @@
 
 from ryelatch_core.membership import NEVER
 from ryelatch_node.news._frames import (
-    MOST_BYTES,
+    MAX_FRAME_BYTES,
     Change,
-    Reply,
-    WholeReply,
+    ListReply,
+    WatchReply,
     pack,
 )
 
-_MOST_STEPS = 256
-"""Answers of the store that are kept; a peer that is further behind lists."""
+_MAX_UPDATES = 256
+"""Number of updates that are kept; a peer that is further behind must list."""
 
-MOST_PACKED = 32_768
-"""Most bytes of changes that are passed on to one who may ask the store.
+MAX_PACKED_BYTES = 32_768
+"""Limit on the changes sent to a peer that can read them from the store.
 
-A configuration of 1,400 routes, 325 kB, has that much when it is packed;
-for each of thirty nodes it takes an eighth of a second of a link of 64 Mbit/s.
-More would fill a link that requests need, and each node reads it from the
-store; it is passed on only to those that the store has turned away.
+A configuration of 1,400 routes, 325 kB, is compressed to this size; sending it
+to thirty nodes takes an eighth of a second on a link of 64 Mbit/s. Anything
+larger would occupy a link that requests need, so each node reads it from the
+store; it is sent only to nodes that can't reach the store.
 """
 
-_MOST_WHOLE = MOST_BYTES // 2
-"""Most bytes of all objects of a kind, so that they fit a frame."""
+_MAX_LIST_BYTES = MAX_FRAME_BYTES // 2
+"""Limit on all objects of a kind when compressed, so that they fit a frame."""
 
-_WHOLE = -2
-"""Stands in for a revision where all objects are packed."""
+_LIST_KEY = -2
+"""Key of all packed objects in a dictionary that is keyed by revision."""
 
-NEVER_SECONDS = 1e9
-"""Age told for what was never known; the wire holds no infinity."""
+UNKNOWN_AGE_SECONDS = 1e9
+"""Age sent for state that was never known, in place of infinity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """An answer of the store, or of a peer.
-
-    :param at: revision of the store up to which changes are known.
-    :param known: monotonic seconds at which nothing else had changed.
-    :param unanswered: monotonic seconds at which the peer's last call was
-        sent that the store left unanswered; nothing if there was none.
-    :param out: whether the store is out for that peer.
+    """Changes of a kind of object, received from the store or from a peer.
+
+    :param at: revision of the store up to which all changes are included.
+    :param known: monotonic seconds at which that revision was last confirmed
+        as current.
+    :param changes: the changes, or all objects in reply to a list request.
+    :param unanswered: monotonic seconds at which the peer sent the last call
+        that the store left unanswered; nothing if there was none.
+    :param out: whether the store is unavailable to that peer.
     """
 
     at: int
@@ -56,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreTrouble:
-    """How the store answers a node.
+    """Availability of the store, as a node observes it.
 
-    :param unanswered: when the last call was sent that it left unanswered, in
-        monotonic seconds.
-    :param out: whether its last answer was none.
+    :param unanswered: when the last call that the store left unanswered was
+        sent, in monotonic seconds.
+    :param out: whether the store is unavailable.
     """
 
     unanswered: float = NEVER
@@ -68,115 +70,145 @@
 
 
 NO_TROUBLE = StoreTrouble()
-"""No call was left unanswered yet."""
+"""State of a node whose calls the store has all answered."""
 
 
 @dataclass(frozen=True, slots=True)
 class Blind:
-    """The word of a peer of no use that the store has not answered it.
+    """Reply of a peer that is cut off from the store, so its state is too old.
 
-    :param unanswered: monotonic seconds at which its last call was sent that
-        got no answer.
+    :param unanswered: monotonic seconds at which the peer sent the last call
+        that the store left unanswered.
     """
 
     unanswered: float
 
 
 @dataclass(eq=False)
-class Memory:
-    """The latest answers for one kind, and all objects as of then.
+class WatchCache:
+    """All objects of one kind, and its recent changes.
 
-    :param start: revision from which all changes are kept.
+    :param start: revision after which all changes are kept; -1 before the
+        first list.
+    :param at: revision of the latest update.
+    :param known: when it was last confirmed as current, in monotonic seconds.
     """
 
     start: int = -1
     at: int = -1
     known: float = float('-inf')
     _objects: dict[str, bytes] = field(default_factory=dict)
-    _steps: deque[Heard] = field(default_factory=deque)
+    _updates: deque[Heard] = field(default_factory=deque)
     _packed: dict[int, bytes] = field(default_factory=dict)
-    _heard: asyncio.Event = field(default_factory=asyncio.Event)
+    _recorded: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def reset(self, update: Heard, objects: Mapping[str, bytes]) -> None:
+        """Replace everything by a complete list.
 
-    def restart(self, heard: Heard, objects: Mapping[str, bytes]) -> None:
-        """Take a whole list: what was before can't be told any more."""
-        self._steps.clear()
+        The changes that led to the list are unknown, so a peer at an earlier
+        revision can't be served any more.
+
+        :param objects: by name.
+        """
+        self._updates.clear()
         self._objects = dict(objects)
-        self.start = heard.at
-        self._advance(heard)
-
-    def note(self, heard: Heard) -> None:
-        """Take an answer that goes on from where this node was."""
-        if heard.changes:
-            self._steps.append(heard)
-        while len(self._steps) > _MOST_STEPS:
-            self.start = self._steps.popleft().at
-        self._advance(heard)
-
-    def keep(self, name: str, content: bytes) -> None:
-        """Keep an object that is new or has changed."""
+        self.start = update.at
+        self._advance(update)
+
+    def record(self, update: Heard) -> None:
+        """Add an update that follows on the previous one."""
+        if update.changes:
+            self._updates.append(update)
+        while len(self._updates) > _MAX_UPDATES:
+            self.start = self._updates.popleft().at
+        self._advance(update)
+
+    def put(self, name: str, content: bytes) -> None:
+        """Store an object that is new or has changed."""
         self._objects[name] = content
 
-    def forget(self, name: str) -> None:
-        """Forget an object that was deleted."""
+    def remove(self, name: str) -> None:
+        """Remove an object that was deleted."""
         self._objects.pop(name, None)
 
-    def tell_whole(self, now: float) -> WholeReply:
-        """Tell all objects, if they are known and not too long."""
-        if _WHOLE not in self._packed:
-            self._packed[_WHOLE] = pack(
+    def make_list_reply(self, now: float) -> ListReply:
+        """Reply with all objects, if they are known and fit a frame.
+
+        :param now: monotonic seconds.
+        """
+        if _LIST_KEY not in self._packed:
+            self._packed[_LIST_KEY] = pack(
                 tuple(
                     Change(content, deleted=False)
                     for content in self._objects.values()
                 )
             )
-        packed = self._packed[_WHOLE]
-        if self.at < 0 or len(packed) > _MOST_WHOLE:
-            return WholeReply(known=False)
-        age = min(now - self.known, NEVER_SECONDS)
-        return WholeReply(known=True, at=self.at, age=age, packed=packed)
-
-    def has_news(self, since: int, asked: float) -> bool:
-        """Whether there is something to tell one who asked at a time."""
+        packed = self._packed[_LIST_KEY]
+        if self.at < 0 or len(packed) > _MAX_LIST_BYTES:
+            return ListReply(known=False)
+        age = min(now - self.known, UNKNOWN_AGE_SECONDS)
+        return ListReply(known=True, at=self.at, age=age, packed=packed)
+
+    def has_update(self, since: int, received: float) -> bool:
+        """Whether a watch need not wait any longer.
+
+        This is so if there are changes, or if the state was confirmed as
+        current after the request.
+
+        :param since: revision that the requester has.
+        :param received: when the request arrived, in monotonic seconds.
+        """
         return self.at >= since and (
-            self.known > asked or bool(self._list_steps(since))
+            self.known > received or bool(self._list_updates(since))
         )
 
-    async def wait(self, since: int, asked: float, seconds: float) -> None:
-        """Wait until there is something to tell, or a time has passed."""
+    async def wait(self, since: int, received: float, seconds: float) -> None:
+        """Wait until there is an update for a request, or until a timeout.
+
+        :param since: revision that the requester has.
+        :param received: when the request arrived, in monotonic seconds.
+        :param seconds: longest wait.
+        """
         try:
             async with asyncio.timeout(seconds):
-                while not self.has_news(since, asked):
-                    await self._heard.wait()
+                while not self.has_update(since, received):
+                    await self._recorded.wait()
         except TimeoutError:
             return
 
-    def tell(
+    def make_reply(
         self,
         since: int,
-        asked: float,
+        received: float,
         now: float,
         *,
         whole: bool = False,
-    ) -> Reply:
-        """Tell what has changed since a revision.
+    ) -> WatchReply:
+        """Reply with the changes since a revision.
 
-        :param whole: whether many changes are passed on too.
+        :param since: revision that the requester has.
+        :param received: when the request arrived, in monotonic seconds.
+        :param now: monotonic seconds.
+        :param whole: whether to include large changes, too.
         """
         covered = self._covers(since)
         packed = self._pack_since(since) if covered else b''
-        if len(packed) > MOST_PACKED and not whole:
+        if len(packed) > MAX_PACKED_BYTES and not whole:
             covered, packed = False, b''
-        age = min(now - self.known, NEVER_SECONDS)
-        return Reply(covered, self.at, now - asked, age, packed)
+        age = min(now - self.known, UNKNOWN_AGE_SECONDS)
+        return WatchReply(covered, self.at, now - received, age, packed)
 
     def _pack_since(self, since: int) -> bytes:
-        """Pack what has changed; those who ask are mostly at one revision."""
+        """Pack the changes since a revision.
+
+        The result is kept, as most requesters have the same revision.
+        """
         if since not in self._packed:
             self._packed[since] = pack(
                 tuple(
                     change
-                    for step in self._list_steps(since)
-                    for change in step.changes
+                    for update in self._list_updates(since)
+                    for change in update.changes
                 )
             )
         return self._packed[since]
@@ -185,13 +217,13 @@
         """Whether all changes since a revision are kept."""
         return self.start >= 0 and self.start <= since <= self.at
 
-    def _list_steps(self, since: int) -> list[Heard]:
-        return [step for step in self._steps if step.at > since]
+    def _list_updates(self, since: int) -> list[Heard]:
+        return [update for update in self._updates if update.at > since]
 
-    def _advance(self, heard: Heard) -> None:
-        if heard.at != self.at or heard.changes:
+    def _advance(self, update: Heard) -> None:
+        if update.at != self.at or update.changes:
             self._packed.clear()
-        self.at = heard.at
-        self.known = max(self.known, heard.known)
-        self._heard.set()
-        self._heard = asyncio.Event()
+        self.at = update.at
+        self.known = max(self.known, update.known)
+        self._recorded.set()
+        self._recorded = asyncio.Event()
--- a/packages/ryelatch-node/src/ryelatch_node/news/_rests.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_rests.py
@@ -1,31 +1,32 @@
-"""Peers that were of no use, and are not asked for a while."""
+"""Cooldowns of peers whose replies failed or were too old."""
 
 from dataclasses import dataclass, field
 
 from ryelatch_core.kernel import Clock
 
-REST_SECONDS = 6.0
-"""How long a peer that did not help is not asked again.
+COOLDOWN_SECONDS = 6.0
+"""How long a peer gets no request after it failed or its reply was too old.
 
-Asked again at once, each watch would cost its wait before the store is asked,
-and what is confirmed grows old meanwhile.
+Without it, each watch would first wait for that peer before the request goes
+to the store, and the views would grow old meanwhile.
 """
 
-BLIND_SECONDS = 0.5
-"""The same while the store answers this node as little as that peer.
+CUT_OFF_COOLDOWN_SECONDS = 0.5
+"""The same while neither that peer nor this node can reach the store.
 
-One that watches asks the store again several times a second and is the first
-to know when the store is back; those who wait for that ask it, not the store.
-A peer that is blind or behind alone is left for as long as any other.
+A node that watches for others retries the store several times a second and is
+the first to notice its return. The other nodes wait for that by requests to
+it, rather than to the store. A peer that is the only one cut off or behind
+gets the normal cooldown.
 """
 
 
 @dataclass(frozen=True, slots=True)
-class _Left:
-    """That a peer was left.
+class _Failure:
+    """A request to a peer that failed or returned state that was too old.
 
-    :param at: when, in monotonic seconds.
-    :param answered: whether it answered, with what was too old.
+    :param at: monotonic seconds.
+    :param answered: whether the peer replied, with state that was too old.
     """
 
     at: float
@@ -33,26 +34,30 @@
 
 
 @dataclass(eq=False)
-class RestBook:
-    """When peers were left, by name."""
+class PeerCooldowns:
+    """The latest failure of each peer, by name of the peer."""
 
     clock: Clock
-    _left: dict[str, _Left] = field(default_factory=dict)
+    _failures: dict[str, _Failure] = field(default_factory=dict)
 
-    def note(self, name: str, *, answered: bool) -> None:
-        """Note that a peer was left.
+    def start(self, name: str, *, answered: bool) -> None:
+        """Start the cooldown of a peer.
 
-        :param answered: whether it answered, with what was too old.
+        :param answered: whether the peer replied, with state that was too old.
         """
-        self._left[name] = _Left(self.clock.monotonic(), answered)
+        self._failures[name] = _Failure(self.clock.monotonic(), answered)
 
-    def rests(self, name: str, *, all_wait: bool) -> bool:
-        """Whether a peer was of no use a short while ago.
+    def is_cooling_down(self, name: str, *, store_out: bool) -> bool:
+        """Whether a peer should get no request now.
 
-        :param all_wait: whether all wait for the store to come back.
+        :param store_out: whether the store is unavailable to this node too.
         """
-        left = self._left.get(name)
-        if left is None:
+        failure = self._failures.get(name)
+        if failure is None:
             return False
-        rest = BLIND_SECONDS if left.answered and all_wait else REST_SECONDS
-        return self.clock.monotonic() - left.at < rest
+        cooldown = (
+            CUT_OFF_COOLDOWN_SECONDS
+            if failure.answered and store_out
+            else COOLDOWN_SECONDS
+        )
+        return self.clock.monotonic() - failure.at < cooldown
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_server.py
@@ -1,4 +1,4 @@
-"""Answers the questions of peers."""
+"""Serves the requests of peers."""
 
 import asyncio
 import contextlib
@@ -12,124 +12,131 @@
 from ryelatch_core.kernel import Clock, cancel_task
 from ryelatch_core.membership import NEVER
 from ryelatch_node.news._frames import (
-    Greeting,
-    GreetingReply,
+    BootstrapMessage,
+    BootstrapReply,
+    ListReply,
+    ListRequest,
     PermitQuestion,
     PermitReply,
-    Question,
-    Reply,
-    WholeQuestion,
-    WholeReply,
+    WatchReply,
+    WatchRequest,
     encode,
     read_body,
 )
 from ryelatch_node.news._line import FAILURES
 from ryelatch_node.news._memory import (
-    NEVER_SECONDS,
     NO_TROUBLE,
-    Memory,
+    UNKNOWN_AGE_SECONDS,
     StoreTrouble,
+    WatchCache,
 )
-from ryelatch_node.news._rests import REST_SECONDS
+from ryelatch_node.news._rests import COOLDOWN_SECONDS
 
-_AnyQuestion: TypeAlias = Question | PermitQuestion | Greeting | WholeQuestion
+_AnyRequest: TypeAlias = (
+    WatchRequest | PermitQuestion | BootstrapMessage | ListRequest
+)
 
-LONGEST_WAIT = 30.0
-"""Longest wait that a peer may ask for."""
+MAX_WAIT_SECONDS = 30.0
+"""Longest wait that a peer may request."""
 
 
-def _deny(question: PermitQuestion) -> PermitReply:
-    return PermitReply(False, REST_SECONDS, question.limit, question.age)
+def _deny_permit(request: PermitQuestion) -> PermitReply:
+    return PermitReply(False, COOLDOWN_SECONDS, request.limit, request.age)
 
 
-def _know(greeting: Greeting) -> GreetingReply:
-    return GreetingReply(knows=True)
+def _ignore_message(message: BootstrapMessage) -> BootstrapReply:
+    return BootstrapReply(knows=True)
 
 
 @dataclass(eq=False)
 class PeerServer:
-    """Tells peers what this node knows, and whether they may send.
-
-    :param memories: what it has heard of the store, by kind.
-    :param find_trouble: tells how the store answers this node.
-    :param answer_permit: tells a peer whether it may send to a replica.
-    :param take_greeting: learns from a peer which nodes there are.
-    :param asked: when it was asked to watch last, in monotonic seconds.
+    """Serves watches, lists and permits to peers.
+
+    :param caches: objects and recent changes of the store, by kind.
+    :param find_trouble: returns the state of the store as this node sees it.
+    :param answer_permit: grants or denies a permit to send to a replica.
+    :param handle_message: handles the message of a peer that introduces
+        itself.
+    :param last_watched: when a peer last requested a watch that it could have
+        sent to the store, in monotonic seconds.
     """
 
     clock: Clock
-    costs: CostBook
-    memories: dict[str, Memory]
+    usage: CostBook
+    caches: dict[str, WatchCache]
     find_trouble: Callable[[], StoreTrouble] = lambda: NO_TROUBLE
-    answer_permit: Callable[[PermitQuestion], PermitReply] = _deny
-    take_greeting: Callable[[Greeting], GreetingReply] = _know
-    asked: float = NEVER
-    _served: set['asyncio.Task[None]'] = field(default_factory=set)
+    answer_permit: Callable[[PermitQuestion], PermitReply] = _deny_permit
+    handle_message: Callable[[BootstrapMessage], BootstrapReply] = (
+        _ignore_message
+    )
+    last_watched: float = NEVER
+    _tasks: set['asyncio.Task[None]'] = field(default_factory=set)
 
     async def serve(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answer one peer until it goes."""
+        """Serve one peer until it closes the connection."""
         task = asyncio.current_task()
         assert task is not None
-        self._served.add(task)
+        self._tasks.add(task)
         try:
             while True:
-                await self._answer_one(reader, writer)
+                await self._serve_request(reader, writer)
         except FAILURES:
-            # The peer has gone, or is none; it asks anew, or the store.
+            # The peer is lost, or the client is not a peer. A peer retries, or
+            # sends its request to the store.
             return
         except asyncio.CancelledError:
-            # Only at the stop. The library's own callback looks at how this
-            # task ended and takes a cancelled one for a crash.
+            # Only in stop(). Not raised again, as asyncio's callback for this
+            # task would report a cancelled one as an unhandled error.
             return
         finally:
-            self._served.discard(task)
+            self._tasks.discard(task)
             with contextlib.suppress(OSError):
                 writer.transport.abort()
 
     async def stop(self) -> None:
-        """Answer nobody any more."""
-        for task in tuple(self._served):
+        """Stop serving all peers."""
+        for task in tuple(self._tasks):
             await cancel_task(task)
 
-    async def _answer_one(
+    async def _serve_request(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         body = await read_body(reader)
-        question = msgspec.msgpack.decode(body, type=_AnyQuestion)
-        match question:
+        request = msgspec.msgpack.decode(body, type=_AnyRequest)
+        match request:
             case PermitQuestion():
-                frame = encode(self.answer_permit(question))
-            case Greeting():
-                frame = encode(self.take_greeting(question))
-            case WholeQuestion():
-                frame = encode(self._tell_whole(question))
-            case Question():
-                frame = await self._answer_watch(question)
+                frame = encode(self.answer_permit(request))
+            case BootstrapMessage():
+                frame = encode(self.handle_message(request))
+            case ListRequest():
+                frame = encode(self._make_list_reply(request))
+            case WatchRequest():
+                frame = await self._serve_watch(request)
         writer.write(frame)
         await writer.drain()
 
-    def _tell_whole(self, question: WholeQuestion) -> WholeReply:
-        memory = self.memories.get(question.kind)
-        if memory is None:
-            return WholeReply(known=False)
+    def _make_list_reply(self, request: ListRequest) -> ListReply:
+        cache = self.caches.get(request.kind)
+        if cache is None:
+            return ListReply(known=False)
         now = self.clock.monotonic()
-        reply = memory.tell_whole(now)
+        reply = cache.make_list_reply(now)
         unanswered = self.find_trouble().unanswered
         if unanswered > NEVER:
             reply = msgspec.structs.replace(reply, unanswered=now - unanswered)
         return reply
 
-    async def _answer_watch(self, question: Question) -> bytes:
-        asked = self.clock.monotonic()
-        if not question.whole:
-            self.asked = asked
-        reply = await self._tell(question, asked)
+    async def _serve_watch(self, request: WatchRequest) -> bytes:
+        received = self.clock.monotonic()
+        if not request.whole:
+            self.last_watched = received
+        reply = await self._make_watch_reply(request, received)
         now = self.clock.monotonic()
         trouble = self.find_trouble()
         if trouble.unanswered > NEVER:
@@ -137,17 +144,21 @@
                 reply, unanswered=now - trouble.unanswered, out=trouble.out
             )
         frame = encode(reply)
-        if question.kind in self.memories:
-            self.costs.count('peers', question.kind, 'answers')
-            self.costs.count('peers', question.kind, 'bytes', number=len(frame))
+        if request.kind in self.caches:
+            self.usage.count('peers', request.kind, 'answers')
+            self.usage.count('peers', request.kind, 'bytes', number=len(frame))
         return frame
 
-    async def _tell(self, question: Question, asked: float) -> Reply:
-        """Tell what is known of a kind; nothing of one that isn't followed."""
-        memory = self.memories.get(question.kind)
-        if memory is None:
-            return Reply(covered=False, age=NEVER_SECONDS)
-        wait = min(LONGEST_WAIT, max(0, question.wait))
-        await memory.wait(question.since, asked, wait)
+    async def _make_watch_reply(
+        self, request: WatchRequest, received: float
+    ) -> WatchReply:
+        """Wait for changes of a kind, if this node follows that kind."""
+        cache = self.caches.get(request.kind)
+        if cache is None:
+            return WatchReply(covered=False, age=UNKNOWN_AGE_SECONDS)
+        wait = min(MAX_WAIT_SECONDS, max(0, request.wait))
+        await cache.wait(request.since, received, wait)
         now = self.clock.monotonic()
-        return memory.tell(question.since, asked, now, whole=question.whole)
+        return cache.make_reply(
+            request.since, received, now, whole=request.whole
+        )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_service.py
@@ -1,4 +1,4 @@
-"""Asks peers what the store says, and tells them."""
+"""Watches the store through peers, and serves the watches of peers."""
 
 import asyncio
 from collections import defaultdict
@@ -17,11 +17,11 @@
 )
 from ryelatch_node.news._frames import (
     Change,
-    Question,
-    Reply,
+    WatchReply,
+    WatchRequest,
     unpack,
 )
-from ryelatch_node.news._greeter import Greeter
+from ryelatch_node.news._greeter import Bootstrapper
 from ryelatch_node.news._introduction import Introduction
 from ryelatch_node.news._line import (
     CONNECT_SECONDS,
@@ -33,64 +33,70 @@
 from ryelatch_node.news._memory import (
     Blind,
     Heard,
-    Memory,
+    WatchCache,
 )
-from ryelatch_node.news._rests import REST_SECONDS, RestBook
+from ryelatch_node.news._rests import COOLDOWN_SECONDS, PeerCooldowns
 from ryelatch_node.news._server import PeerServer
 from ryelatch_node.ports import Address, RelayStartup
 
 REPLY_SECONDS = 0.4
-"""How long beyond its wait a reply may take, a slowed VM's included."""
+"""Time allowed for a reply beyond its wait; enough for a slowed VM."""
 
 
 def _ignore_count(nodes: int) -> None:
-    """Nothing here depends on how many nodes there are."""
+    """Default callback, which ignores the number of nodes."""
 
 
 @dataclass(eq=False)
 class News:
-    """What this node and its peers know of the store's objects.
-
-    A peer's word is as good as the store's: each reply tells how long ago
-    nothing else had changed, counted on one clock at either end, and is dated
-    from when the question was sent. A peer that is cut off, silent or behind
-    is left, and the store asked as if there were no peers.
-
-    :param server: answers those who ask this node.
-    :param wanted: kinds of object without which this node serves nothing.
-    :param tell_count: told how many nodes a peer has named.
-    :param introduction: what a peer tells at a start while the store is out.
+    """Exchanges the changes of the store's objects with peers.
+
+    A reply of a peer is as reliable as one of the store. It contains the age
+    of the peer's state, measured by the peer's clock alone, and the requester
+    counts the age from the time at which it sent the request. A peer that is
+    cut off from the store, unresponsive or behind gets no requests during a
+    cooldown, and the store is watched as if there were no peers.
+
+    :param server: serves the requests of peers.
+    :param wanted: kinds of object that this node requires to serve.
+    :param tell_count: called with the number of nodes that a peer listed.
+    :param introduction: provides the initial state from a peer if this node
+        starts during a store outage.
     """
 
     log: LineLog
     clock: Clock
     startup: RelayStartup
     dial: Dial = asyncio.open_connection
-    costs: CostBook = field(default_factory=CostBook)
+    usage: CostBook = field(default_factory=CostBook)
     address: Address = field(init=False)
     server: PeerServer = field(init=False)
     wanted: frozenset[str] = frozenset()
     tell_count: Callable[[int], None] = _ignore_count
     introduction: Introduction = field(init=False)
-    _memories: dict[str, Memory] = field(
-        default_factory=lambda: defaultdict(Memory)
+    _caches: dict[str, WatchCache] = field(
+        default_factory=lambda: defaultdict(WatchCache)
     )
     _nodes: tuple[NodeEntry, ...] = ()
-    _lines: dict[str, Line] = field(default_factory=dict)
+    _connections: dict[str, Line] = field(default_factory=dict)
     _listener: asyncio.Server | None = None
-    _greeting: 'asyncio.Task[None] | None' = None
+    _bootstrap_task: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
-        """Make what answers, and what remembers who was left."""
-        self.server = PeerServer(self.clock, self.costs, self._memories)
+        """Create the server, the bootstrap client and the cooldowns."""
+        self.server = PeerServer(self.clock, self.usage, self._caches)
         self.introduction = Introduction(
-            self.log, self.clock, self.dial, lambda: self._knows, self._learn
+            self.log,
+            self.clock,
+            self.dial,
+            lambda: self._is_synced,
+            self._accept_nodes,
         )
-        self.server.take_greeting = self.introduction.take
-        self._rests = RestBook(self.clock)
+        self.server.handle_message = self.introduction.handle_message
+        self._cooldowns = PeerCooldowns(self.clock)
 
     async def start(self) -> None:
-        """Listen for peers."""
+        """Listen for peers, and start to contact nodes that may restart."""
         host, port = self.startup.peers
         self._listener = await asyncio.start_server(
             self.server.serve, host, port
@@ -100,55 +106,62 @@
         self.start_greeting()
 
     def start_greeting(self) -> None:
-        """Begin to greet nodes that start while the store is out."""
-        greeter = Greeter(
+        """Begin to contact nodes that start during a store outage."""
+        bootstrapper = Bootstrapper(
             self.log,
             self.startup.name,
             self.dial,
             lambda: self._nodes,
-            lambda: self._knows,
+            lambda: self._is_synced,
             lambda: self.server.find_trouble().out,
             self.clock,
         )
-        self._greeting = asyncio.create_task(
-            keep_running('greetings', greeter.run, self.log)
+        self._bootstrap_task = asyncio.create_task(
+            keep_running('greetings', bootstrapper.run, self.log)
         )
 
     async def stop(self) -> None:
-        """Close everything."""
-        await cancel_task(self._greeting)
+        """Stop all tasks and close all connections."""
+        await cancel_task(self._bootstrap_task)
         if self._listener is not None:
             self._listener.close()
-        for kind in tuple(self._lines):
+        for kind in tuple(self._connections):
             self._drop(kind)
         await self.server.stop()
 
     def know(self, nodes: Iterable[NodeEntry]) -> None:
-        """Take note of which nodes there are."""
+        """Set the list of all nodes, this one included."""
         self._nodes = tuple(nodes)
 
     def restart(
         self,
         kind: str,
-        heard: Heard,
+        update: Heard,
         objects: Mapping[str, bytes],
     ) -> None:
-        """Take a whole list, from the store or from a peer.
+        """Replace the cached objects of a kind by a complete list.
 
-        :param objects: what is kept for those who can't list, by name.
+        :param update: the list, from the store or from a peer.
+        :param objects: content for peers that can't list at the store, by
+            name.
         """
-        self._memories[kind].restart(heard, objects)
+        self._caches[kind].reset(update, objects)
 
     def keep(self, kind: str, name: str, change: Change) -> None:
-        """Keep a changed object for those who can't list."""
+        """Apply a change to the objects that peers list here.
+
+        Peers do so if they can't list at the store.
+
+        :param name: of the object.
+        """
         if change.deleted:
-            self._memories[kind].forget(name)
+            self._caches[kind].remove(name)
         else:
-            self._memories[kind].keep(name, change.content)
+            self._caches[kind].put(name, change.content)
 
-    def note(self, kind: str, heard: Heard) -> None:
-        """Take an answer to a watch, from whomever."""
-        self._memories[kind].note(heard)
+    def note(self, kind: str, update: Heard) -> None:
+        """Record the result of a watch, from the store or from a peer."""
+        self._caches[kind].record(update)
 
     async def ask(
         self,
@@ -159,92 +172,97 @@
         oldest: float,
         alone: bool,
     ) -> Heard | Blind | None:
-        """Ask a peer for what has changed.
-
-        :param oldest: seconds since a peer heard of the store itself, beyond
-            which its word is no use.
-        :param alone: whether the store does not answer this node; one that
-            watches for others then asks them too.
-        :returns: nothing if the peer is of no use.
+        """Request the changes of a kind from a peer.
+
+        :param since: revision of the store that this node has.
+        :param wait: seconds after which the peer replies without changes.
+        :param oldest: maximum age of the peer's state, in seconds.
+        :param alone: whether the store is unavailable to this node; if so, a
+            node that watches for others sends requests to peers, too.
+        :returns: nothing if there is no peer to ask, if the request fails, or
+            if the reply can't be used.
         """
-        peer = self._choose(alone=alone)
+        peer = self._choose_peer(alone=alone)
         if peer is None:
             return None
         sent = self.clock.monotonic()
-        question = Question(kind, since, wait, alone)
+        request = WatchRequest(kind, since, wait, alone)
         try:
             async with asyncio.timeout(wait + CONNECT_SECONDS + REPLY_SECONDS):
-                reply = await self._exchange(kind, peer, question)
+                reply = await self._exchange(kind, peer, request)
             changes = unpack(reply.packed)
         except asyncio.CancelledError:
-            # Its reply is still to come, and would answer the next question.
+            # The outstanding reply would be read as that to the next request.
             self._drop(kind)
             raise
         except FAILURES as error:
-            # Timeouts are among them: a peer whose connections went silent.
-            self._leave(kind, peer, type(error).__name__)
+            # Timeouts included: the peer may be unresponsive.
+            self._abandon(kind, peer, type(error).__name__)
             return None
-        told = sent + min(reply.waited, self.clock.monotonic() - sent)
+        replied = sent + min(reply.waited, self.clock.monotonic() - sent)
         unanswered = (
-            None if reply.unanswered is None else told - reply.unanswered
+            None if reply.unanswered is None else replied - reply.unanswered
         )
         if reply.age <= oldest:
             if not reply.covered:
                 return None
             return Heard(
-                reply.at, told - reply.age, changes, unanswered, reply.out
+                reply.at, replied - reply.age, changes, unanswered, reply.out
             )
         reason = 'blind' if reply.out else 'behind'
-        self._leave(kind, peer, reason, answered=True)
+        self._abandon(kind, peer, reason, answered=True)
         return None if unanswered is None else Blind(unanswered)
 
     @property
     def nodes(self) -> tuple[NodeEntry, ...]:
-        """The nodes that there are, this one included."""
+        """All nodes, this one included."""
         return self._nodes
 
     @property
     def shares(self) -> bool:
-        """Whether some nodes of this fleet watch for others."""
+        """Whether the fleet has nodes that watch the store for others."""
         return shares_watches(self._nodes)
 
     @property
     def watches_for_others(self) -> bool:
         """Whether this node watches the store for others.
 
-        One that is asked does, whatever its own count of the nodes says: with
-        a count from before the others came it watched as for itself alone,
-        and its followers left it every two seconds.
+        A node that receives watch requests does, whatever its own list of
+        nodes implies. With a list from before the other nodes joined, it would
+        watch only for itself, and its followers would abandon it every two
+        seconds.
         """
-        if self.clock.monotonic() - self.server.asked < REST_SECONDS:
+        if self.clock.monotonic() - self.server.last_watched < COOLDOWN_SECONDS:
             return True
         return watches_for_others(
             self.startup.name, self.startup.zone, self._nodes
         )
 
     @property
-    def _knows(self) -> bool:
-        """Whether this node has learned what it needs to serve."""
-        return self.wanted <= self._memories.keys()
+    def _is_synced(self) -> bool:
+        """Whether this node has the state it needs to serve."""
+        return self.wanted <= self._caches.keys()
 
-    def _learn(self, nodes: tuple[NodeEntry, ...]) -> None:
-        """Learn from a peer which nodes there are, if this one can't."""
+    def _accept_nodes(self, nodes: tuple[NodeEntry, ...]) -> None:
+        """Use a peer's list of nodes, unless this node has one."""
         if not self._nodes:
             self.know(nodes)
             self.tell_count(len(nodes))
 
-    def _choose(self, *, alone: bool) -> NodeEntry | None:
-        """Choose the peer to ask; none if this node asks the store."""
+    def _choose_peer(self, *, alone: bool) -> NodeEntry | None:
+        """Choose the peer to watch through; none to watch the store itself."""
         if not alone and (not self.shares or self.watches_for_others):
             return None
-        me, zone = self.startup.name, self.startup.zone
-        offered = choose_watchers(me, zone, self._nodes)
-        waits = self.shares and self.server.find_trouble().out
+        local_name, zone = self.startup.name, self.startup.zone
+        offered = choose_watchers(local_name, zone, self._nodes)
+        store_out = self.shares and self.server.find_trouble().out
         return next(
             (
-                one
-                for one in offered
-                if not self._rests.rests(one.name, all_wait=waits)
+                peer
+                for peer in offered
+                if not self._cooldowns.is_cooling_down(
+                    peer.name, store_out=store_out
+                )
             ),
             None,
         )
@@ -253,17 +271,19 @@
         self,
         kind: str,
         peer: NodeEntry,
-        question: Question,
-    ) -> Reply:
-        line = self._lines.get(kind)
-        if line is None or line.address != peer.address:
+        request: WatchRequest,
+    ) -> WatchReply:
+        connection = self._connections.get(kind)
+        if connection is None or connection.address != peer.address:
             self._drop(kind)
-            line = await open_line(self.dial, peer.address)
-            self._lines[kind] = line
-        self.costs.count('peers', kind, 'questions')
-        return msgspec.msgpack.decode(await line.ask(question), type=Reply)
+            connection = await open_line(self.dial, peer.address)
+            self._connections[kind] = connection
+        self.usage.count('peers', kind, 'questions')
+        return msgspec.msgpack.decode(
+            await connection.ask(request), type=WatchReply
+        )
 
-    def _leave(
+    def _abandon(
         self,
         kind: str,
         peer: NodeEntry,
@@ -272,15 +292,15 @@
         answered: bool = False,
     ) -> None:
         self._drop(kind)
-        self._rests.note(peer.name, answered=answered)
+        self._cooldowns.start(peer.name, answered=answered)
         self.log.record(
             catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
         )
 
     def _drop(self, kind: str) -> None:
-        line = self._lines.pop(kind, None)
-        if line is not None:
-            line.drop()
+        connection = self._connections.pop(kind, None)
+        if connection is not None:
+            connection.drop()
 
 
 def setup(app: App) -> None:
@@ -289,6 +309,6 @@
         app.find('log', LineLog),
         app.clock,
         app.find('startup', RelayStartup),
-        costs=app.find('costs', CostBook),
+        usage=app.find('costs', CostBook),
     )
     app.add(Service('news', news, start=news.start, stop=news.stop))
--- a/tests/node/news/test_frames.py
+++ b/tests/node/news/test_frames.py
@@ -1,11 +1,11 @@
-"""Peers that tell nonsense, or too much."""
+"""Encoding of changes, and frames that are malformed or too large."""
 
 import zlib
 
 import msgspec
 import pytest
 
-from ryelatch_node.news._frames import MOST_BYTES, Change, pack, unpack
+from ryelatch_node.news._frames import MAX_FRAME_BYTES, Change, pack, unpack
 
 
 def test_changes_are_read_as_they_were_told() -> None:
@@ -18,7 +18,7 @@
 
 
 def test_run_of_registrations_is_small() -> None:
-    """A whole fleet registers, and each change goes to fifty nodes."""
+    """All replicas of a fleet register, and each change goes to fifty nodes."""
     entries = tuple(
         Change(
             b'{"metadata":{"name":"i-%08x","revision":%d},"spec":{"service":'
@@ -29,12 +29,12 @@
         )
         for number in range(100)
     )
-    whole = sum(len(one.content) for one in entries)
-    assert len(pack(entries)) < whole / 4
+    total = sum(len(entry.content) for entry in entries)
+    assert len(pack(entries)) < total / 4
 
 
 @pytest.mark.parametrize(
-    'junk',
+    'malformed',
     [
         b'x',
         zlib.compress(b'x'),
@@ -42,17 +42,18 @@
         zlib.compress(msgspec.msgpack.encode([['text', 1]])),
     ],
 )
-def test_nonsense_is_an_error(junk: bytes) -> None:
+def test_nonsense_is_an_error(malformed: bytes) -> None:
     with pytest.raises((ValueError, msgspec.MsgspecError)):
-        unpack(junk)
+        unpack(malformed)
 
 
 def test_small_frame_can_not_fill_the_memory() -> None:
-    """Compressed zeros are a thousand times larger once they are read.
+    """Compressed zeros expand to a thousand times their size.
 
-    A peer out of its mind, or none at all, could end a node of 200 MB by it.
+    A faulty peer, or any other client, could exhaust the memory of a node of
+    200 MB with one frame.
     """
-    bomb = zlib.compress(bytes(MOST_BYTES * 8))
-    assert len(bomb) < MOST_BYTES / 50
+    bomb = zlib.compress(bytes(MAX_FRAME_BYTES * 8))
+    assert len(bomb) < MAX_FRAME_BYTES / 50
     with pytest.raises(ValueError, match='too long'):
         unpack(bomb)
--- a/tests/node/news/test_greeter.py
+++ b/tests/node/news/test_greeter.py
@@ -1,12 +1,12 @@
-"""Whom a node greets, and when."""
+"""Which nodes a node introduces itself to in an outage, and when."""
 
 import asyncio
 from typing import Any
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import GreetingReply, encode
-from ryelatch_node.news._greeter import LOST_SECONDS, Greeter
+from ryelatch_node.news._frames import BootstrapReply, encode
+from ryelatch_node.news._greeter import RESTART_SECONDS, Bootstrapper
 from virtual.links import open_pair
 from virtual.loop import VirtualClock, run
 
@@ -19,7 +19,7 @@
 class _Peers:
     """The peers of a node, each up or down.
 
-    :param calls: names of those that were connected to.
+    :param calls: names of the peers that a connection was opened to.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._ends: dict[str, Any] = {}
         self._served: list[asyncio.Task[None]] = []
         clock = VirtualClock()
-        self.greeter = Greeter(
+        self.bootstrapper = Bootstrapper(
             LineLog('a', clock, len),
             'a',
             self._dial,
@@ -40,7 +40,7 @@
         )
 
     def end(self, name: str) -> None:
-        """End a peer; its connections break."""
+        """Terminate a peer; its connections break."""
         self.down.add(name)
         self._ends.pop(name).transport.abort()
 
@@ -50,20 +50,20 @@
             raise ConnectionRefusedError
         near, far = open_pair(lambda: True)
         self._ends[host] = near[1]
-        self._served.append(asyncio.create_task(_answer(*far)))
+        self._served.append(asyncio.create_task(_reply(*far)))
         return near
 
 
-async def _answer(reader: asyncio.StreamReader, writer: Any) -> None:
+async def _reply(reader: asyncio.StreamReader, writer: Any) -> None:
     while await reader.read(1):
         if not reader._buffer:  # type: ignore[attr-defined]
-            writer.write(encode(GreetingReply(knows=True)))
+            writer.write(encode(BootstrapReply(knows=True)))
 
 
 def _play(steps: Any) -> None:
     async def main() -> None:
         peers = _Peers()
-        running = asyncio.create_task(peers.greeter.run())
+        running = asyncio.create_task(peers.bootstrapper.run())
         await asyncio.sleep(_SETTLED)
         await steps(peers)
         running.cancel()
@@ -72,7 +72,7 @@
 
 
 def test_calm_costs_one_connection() -> None:
-    """All nodes live; greetings would cost each of them for nothing."""
+    """All nodes are up, so repeated contacts would be useless load."""
 
     async def steps(peers: _Peers) -> None:
         await asyncio.sleep(100)
@@ -82,7 +82,7 @@
 
 
 def test_lost_node_is_looked_for_as_it_starts() -> None:
-    """The next node is killed and back within a second."""
+    """The next node is killed and restarts within a second."""
 
     async def steps(peers: _Peers) -> None:
         peers.end('b')
@@ -96,11 +96,11 @@
 
 
 def test_removed_node_is_looked_for_no_longer() -> None:
-    """The next node's VM is gone for good; the one after it is held."""
+    """The next node's VM is removed; the connection goes to the one after."""
 
     async def steps(peers: _Peers) -> None:
         peers.end('b')
-        await asyncio.sleep(LOST_SECONDS + _SETTLED)
+        await asyncio.sleep(RESTART_SECONDS + _SETTLED)
         calls = len(peers.calls)
         await asyncio.sleep(100)
         assert len(peers.calls) == calls
--- a/tests/node/news/test_introduction.py
+++ b/tests/node/news/test_introduction.py
@@ -1,4 +1,4 @@
-"""What a node that starts in an outage takes from a peer, and what not."""
+"""What a node that starts in a store outage accepts from a peer."""
 
 import asyncio
 from typing import Any
@@ -8,14 +8,14 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news._frames import (
+    BootstrapMessage,
     Change,
-    Greeting,
-    Question,
-    WholeReply,
+    ListReply,
+    WatchRequest,
     encode,
     pack,
 )
-from ryelatch_node.news._greeter import list_following
+from ryelatch_node.news._greeter import list_successors
 from ryelatch_node.news._introduction import Introduction
 from virtual.links import open_pair
 from virtual.loop import VirtualClock
@@ -26,13 +26,13 @@
 
 
 _AGE = 2.5
-"""Seconds since the peer heard of the store."""
+"""Seconds since the peer's state was confirmed as current."""
 
 
 class _Case:
-    """An introduction, and what it has told its node.
+    """A bootstrap client, and the lists of nodes that it accepted.
 
-    :param body: what the peer answers.
+    :param body: the reply of the peer.
     """
 
     def __init__(self, body: bytes = b'', *, knows: bool = False) -> None:
@@ -55,56 +55,58 @@
 
 async def test_greeting_is_taken_by_one_that_needs_it() -> None:
     case = _Case()
-    assert not case.introduction.take(Greeting('b', _NODES)).knows
+    assert not case.introduction.handle_message(
+        BootstrapMessage('b', _NODES)
+    ).knows
     assert case.learned == [_NODES]
     assert case.introduction.greeted.is_set()
 
 
 async def test_greeting_tells_a_sound_node_nothing() -> None:
     case = _Case(knows=True)
-    assert case.introduction.take(Greeting('b', _NODES)).knows
+    assert case.introduction.handle_message(BootstrapMessage('b', _NODES)).knows
     assert not case.learned
 
 
 async def test_greeting_of_a_stranger_is_not_taken() -> None:
-    """Something greets that is none of the nodes it names."""
+    """The sender is not in its own list of nodes."""
     case = _Case()
-    case.introduction.take(Greeting('x', _NODES))
+    case.introduction.handle_message(BootstrapMessage('x', _NODES))
     assert not case.learned
     assert not case.introduction.greeted.is_set()
 
 
 async def test_objects_are_dated_as_the_peer_knew_them() -> None:
     packed = pack((Change(b'{}', deleted=False),))
-    reply = WholeReply(known=True, at=7, age=_AGE, packed=packed)
+    reply = ListReply(known=True, at=7, age=_AGE, packed=packed)
     case = _Case(encode(reply))
-    case.introduction.take(Greeting('b', _NODES))
-    heard = await case.introduction.ask_whole('servers')
-    assert heard is not None
-    assert heard.at == 7
-    assert asyncio.get_running_loop().time() - heard.known >= _AGE
+    case.introduction.handle_message(BootstrapMessage('b', _NODES))
+    update = await case.introduction.ask_whole('servers')
+    assert update is not None
+    assert update.at == 7
+    assert asyncio.get_running_loop().time() - update.known >= _AGE
 
 
 @pytest.mark.parametrize(
     'reply',
     [
-        WholeReply(known=False),
-        WholeReply(known=True, at=7, age=-60),
-        WholeReply(known=True, at=7, age=float('nan')),
-        WholeReply(known=True, at=-7, age=1),
-        WholeReply(known=True, at=7, age=1, packed=b'no objects'),
-        Question('servers', 7, 0),
+        ListReply(known=False),
+        ListReply(known=True, at=7, age=-60),
+        ListReply(known=True, at=7, age=float('nan')),
+        ListReply(known=True, at=-7, age=1),
+        ListReply(known=True, at=7, age=1, packed=b'no objects'),
+        WatchRequest('servers', 7, 0),
     ],
 )
 async def test_peer_that_tells_nonsense_is_left(reply: Any) -> None:
     case = _Case(encode(reply))
-    case.introduction.take(Greeting('b', _NODES))
+    case.introduction.handle_message(BootstrapMessage('b', _NODES))
     assert await case.introduction.ask_whole('servers') is None
     assert not case.introduction.greeted.is_set()
     assert case.log.counts['watcher-left'] == 1
 
 
 def test_all_nodes_are_followed_by_another() -> None:
-    """Nobody would greet a node that comes after none."""
-    firsts = {list_following(one.name, _NODES)[0].name for one in _NODES}
-    assert firsts == {one.name for one in _NODES}
+    """No node would contact a node that is nobody's successor."""
+    firsts = {list_successors(node.name, _NODES)[0].name for node in _NODES}
+    assert firsts == {node.name for node in _NODES}
--- a/tests/node/news/test_memory.py
+++ b/tests/node/news/test_memory.py
@@ -1,70 +1,70 @@
-"""What a node tells those who ask it."""
+"""Replies to watches of peers from the cache of the store's changes."""
 
 import asyncio
 import random
 
 from ryelatch_node.news._frames import Change, unpack
-from ryelatch_node.news._memory import MOST_PACKED, Heard, Memory
+from ryelatch_node.news._memory import MAX_PACKED_BYTES, Heard, WatchCache
 
 _CHANGE = Change(b'{}', False)
 
 
-def _make_memory() -> Memory:
-    memory = Memory()
-    memory.restart(Heard(10, 1), {})
-    memory.note(Heard(12, 2, (_CHANGE,)))
-    memory.note(Heard(15, 3, (_CHANGE, _CHANGE)))
-    memory.note(Heard(15, 4))
-    return memory
+def _make_cache() -> WatchCache:
+    cache = WatchCache()
+    cache.reset(Heard(10, 1), {})
+    cache.record(Heard(12, 2, (_CHANGE,)))
+    cache.record(Heard(15, 3, (_CHANGE, _CHANGE)))
+    cache.record(Heard(15, 4))
+    return cache
 
 
 def test_all_changes_since_a_revision_are_told() -> None:
-    memory = _make_memory()
-    assert len(unpack(memory.tell(10, 5, 6).packed)) == 3
-    assert len(unpack(memory.tell(12, 5, 6).packed)) == 2
-    assert not unpack(memory.tell(15, 5, 6).packed)
+    cache = _make_cache()
+    assert len(unpack(cache.make_reply(10, 5, 6).packed)) == 3
+    assert len(unpack(cache.make_reply(12, 5, 6).packed)) == 2
+    assert not unpack(cache.make_reply(15, 5, 6).packed)
 
 
 def test_what_is_not_known_is_not_told() -> None:
-    """One asks from before the list, another is ahead of this node."""
-    memory = _make_memory()
-    assert not memory.tell(9, 5, 6).covered
-    assert not memory.tell(16, 5, 6).covered
-    assert not Memory().tell(0, 5, 6).covered
+    """One requester is behind the list, another is ahead of this node."""
+    cache = _make_cache()
+    assert not cache.make_reply(9, 5, 6).covered
+    assert not cache.make_reply(16, 5, 6).covered
+    assert not WatchCache().make_reply(0, 5, 6).covered
 
 
 def test_changes_before_a_new_list_are_not_told() -> None:
-    """The store lost its history; what changed meanwhile is in no watch."""
-    memory = _make_memory()
-    memory.restart(Heard(20, 5), {})
-    assert not memory.tell(15, 6, 7).covered
-    assert memory.tell(20, 6, 7).covered
+    """The store lost its history, so changes before the list are unknown."""
+    cache = _make_cache()
+    cache.reset(Heard(20, 5), {})
+    assert not cache.make_reply(15, 6, 7).covered
+    assert cache.make_reply(20, 6, 7).covered
 
 
 def test_reply_says_how_old_it_is() -> None:
-    """A node that is cut off from the store goes on to answer.
+    """A node that is cut off from the store still replies to peers.
 
-    Taken for fresh, its word would keep revoked keys accepted.
+    If its state were taken for current, revoked keys would stay accepted.
     """
-    reply = _make_memory().tell(15, 8, 9)
+    reply = _make_cache().make_reply(15, 8, 9)
     assert (reply.waited, reply.age) == (1, 5)
 
 
 def test_large_objects_are_left_to_the_store() -> None:
-    """Thirty nodes would each be sent 100 kB a few times a second."""
-    memory = _make_memory()
-    content = random.Random(1).randbytes(MOST_PACKED + 1)
-    memory.note(Heard(17, 5, (Change(content, False),)))
-    assert not memory.tell(15, 6, 7).covered
-    assert memory.tell(15, 6, 7, whole=True).covered
+    """Thirty nodes would each get 100 kB several times a second otherwise."""
+    cache = _make_cache()
+    content = random.Random(1).randbytes(MAX_PACKED_BYTES + 1)
+    cache.record(Heard(17, 5, (Change(content, False),)))
+    assert not cache.make_reply(15, 6, 7).covered
+    assert cache.make_reply(15, 6, 7, whole=True).covered
 
 
 async def test_confirmation_ends_the_wait() -> None:
-    """Nothing changes, and that is news to one who has to confirm."""
-    memory = _make_memory()
-    waiting = asyncio.create_task(memory.wait(15, 5, 10))
+    """Nothing changes; the requester still needs that as a confirmation."""
+    cache = _make_cache()
+    waiting = asyncio.create_task(cache.wait(15, 5, 10))
     await asyncio.sleep(0)
     assert not waiting.done()
-    memory.note(Heard(15, 6))
+    cache.record(Heard(15, 6))
     async with asyncio.timeout(1):
         await waiting
--- a/tests/node/news/test_nonsense.py
+++ b/tests/node/news/test_nonsense.py
@@ -1,8 +1,8 @@
-"""Peers that are out of their mind, and strangers at the peers' port.
+"""Malformed replies of peers, and unknown clients at the port for peers.
 
-A node believes what a peer tells of the store, and dates it by the ages that
-the peer tells. An age below nothing would make its knowledge one of the future:
-keys that were taken away were accepted for as long as that lasts.
+A node applies the state that a peer sends, and dates it by the age in the
+reply. A negative age would date the state into the future, and revoked keys
+would be accepted until then.
 """
 
 import asyncio
@@ -16,27 +16,32 @@
 from ryelatch_core.kernel import BootClock
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news import News
-from ryelatch_node.news._frames import Question, Reply, encode, read_body
+from ryelatch_node.news._frames import (
+    WatchReply,
+    WatchRequest,
+    encode,
+    read_body,
+)
 
 _NAMES = [f'node-{number:02}' for number in range(21)]
 
 
 class _Writer:
-    """Takes all that is written."""
+    """Collects all that is written."""
 
     def __init__(self, written: list[bytes]) -> None:
         self.transport = self
         self.write = written.append
 
     def abort(self) -> None:
-        """Leave the connection."""
+        """Do nothing, as there is no connection."""
 
     async def drain(self) -> None:
-        """Nothing waits."""
+        """Do nothing, as writes are never buffered."""
 
 
 def _make_news(reply: bytes) -> News:
-    """Make a node whose peers all tell the same."""
+    """Make a node whose peers all send the same reply."""
 
     async def dial(*_: Any) -> Any:
         reader = asyncio.StreamReader()
@@ -58,20 +63,20 @@
 
 
 async def test_sound_reply_is_heard() -> None:
-    heard = await _ask(_make_news(encode(Reply(True, 7, 0, 0.5))))
-    assert heard.at == 7
+    update = await _ask(_make_news(encode(WatchReply(True, 7, 0, 0.5))))
+    assert update.at == 7
 
 
 @pytest.mark.parametrize(
     'reply',
     [
-        Reply(True, 7, 0, -60),
-        Reply(True, 7, -60, 0.5),
-        Reply(True, 7, 0, float('nan')),
-        Reply(True, 7, 0, 0.5, b'', -60),
-        Reply(True, -7, 0, 0.5),
-        Reply(True, 7, 0, 0.5, b'no changes'),
-        Question('servers', 7, 0),
+        WatchReply(True, 7, 0, -60),
+        WatchReply(True, 7, -60, 0.5),
+        WatchReply(True, 7, 0, float('nan')),
+        WatchReply(True, 7, 0, 0.5, b'', -60),
+        WatchReply(True, -7, 0, 0.5),
+        WatchReply(True, 7, 0, 0.5, b'no changes'),
+        WatchRequest('servers', 7, 0),
     ],
 )
 async def test_nonsense_costs_a_line_and_a_detour(reply: Any) -> None:
@@ -81,17 +86,20 @@
 
 
 async def test_stranger_leaves_no_memory_behind() -> None:
-    """Something asks for a thousand kinds of object that nobody follows."""
+    """A client watches a thousand kinds of object that the node lacks.
+
+    A cache for each of them would let any client exhaust the memory.
+    """
     news = _make_news(b'')
     reader = asyncio.StreamReader()
     for number in range(1000):
-        reader.feed_data(encode(Question(f'kind-{number}', 0, 0)))
+        reader.feed_data(encode(WatchRequest(f'kind-{number}', 0, 0)))
     reader.feed_eof()
     written: list[bytes] = []
     await news.server.serve(reader, _Writer(written))  # type: ignore[arg-type]
-    answers = asyncio.StreamReader()
-    answers.feed_data(b''.join(written))
-    first = msgspec.msgpack.decode(await read_body(answers), type=Reply)
+    replies = asyncio.StreamReader()
+    replies.feed_data(b''.join(written))
+    first = msgspec.msgpack.decode(await read_body(replies), type=WatchReply)
     assert len(written) == 1000
     assert not first.covered
-    assert not news._memories
+    assert not news._caches
