--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_server.py
@@ -53,8 +53,8 @@
     """Serves watches, lists and permits to peers.
 
     :param caches: objects and recent changes of the store, by kind.
-    :param find_trouble: returns the state of the store as this node sees it.
-    :param answer_permit: grants or denies a permit to send to a replica.
+    :param find_trouble: returns the availability of the store to this node.
+    :param answer_permit: grants or denies a permit to a peer.
     :param handle_message: handles the message of a peer that introduces
         itself.
     :param last_watched: when a peer last requested a watch that it could have
