--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
@@ -91,12 +91,12 @@
     :param start: revision after which all changes are kept; -1 before the
         first list.
     :param at: revision of the latest update.
-    :param known: when it was last confirmed as current, in monotonic seconds.
+    :param confirmed_at: when it was last confirmed as current, in monotonic seconds.
     """
 
     start: int = -1
     at: int = -1
-    known: float = float('-inf')
+    confirmed_at: float = float('-inf')
     _objects: dict[str, bytes] = field(default_factory=dict)
     _updates: deque[Heard] = field(default_factory=deque)
     _packed: dict[int, bytes] = field(default_factory=dict)
@@ -146,7 +146,7 @@
         packed = self._packed[_LIST_KEY]
         if self.at < 0 or len(packed) > _MAX_LIST_BYTES:
             return ListReply(known=False)
-        age = min(now - self.known, UNKNOWN_AGE_SECONDS)
+        age = min(now - self.confirmed_at, UNKNOWN_AGE_SECONDS)
         return ListReply(known=True, at=self.at, age=age, packed=packed)
 
     def has_update(self, since: int, received: float) -> bool:
@@ -159,7 +159,7 @@
         :param received: when the request arrived, in monotonic seconds.
         """
         return self.at >= since and (
-            self.known > received or bool(self._list_updates(since))
+            self.confirmed_at > received or bool(self._list_updates(since))
         )
 
     async def wait(self, since: int, received: float, seconds: float) -> None:
@@ -195,7 +195,7 @@
         packed = self._pack_since(since) if covered else b''
         if len(packed) > MAX_PACKED_BYTES and not whole:
             covered, packed = False, b''
-        age = min(now - self.known, UNKNOWN_AGE_SECONDS)
+        age = min(now - self.confirmed_at, UNKNOWN_AGE_SECONDS)
         return WatchReply(covered, self.at, now - received, age, packed)
 
     def _pack_since(self, since: int) -> bytes:
@@ -224,6 +224,6 @@
         if update.at != self.at or update.changes:
             self._packed.clear()
         self.at = update.at
-        self.known = max(self.known, update.known)
+        self.confirmed_at = max(self.confirmed_at, update.known)
         self._recorded.set()
         self._recorded = asyncio.Event()
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_server.py
@@ -53,7 +53,7 @@
     """Serves watches, lists and permits to peers.
 
     :param caches: objects and recent changes of the store, by kind.
-    :param find_trouble: returns the availability of the store to this node.
+    :param find_trouble: returns the store's availability to this node.
     :param answer_permit: grants or denies a permit to a peer.
     :param handle_message: handles the message of a peer that introduces
         itself.
