--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
@@ -41,8 +41,8 @@
     """Changes of a kind of object, received from the store or from a peer.
 
     :param at: revision of the store up to which all changes are included.
-    :param known: monotonic seconds at which that revision was last confirmed
-        as current.
+    :param known: monotonic seconds at which that revision was last
+        confirmed as current.
     :param changes: the changes, or all objects in reply to a list request.
     :param unanswered: monotonic seconds at which the peer sent the last call
         that the store left unanswered; nothing if there was none.
@@ -91,7 +91,8 @@
     :param start: revision after which all changes are kept; -1 before the
         first list.
     :param at: revision of the latest update.
-    :param confirmed_at: when it was last confirmed as current, in monotonic seconds.
+    :param confirmed_at: monotonic seconds at which that revision was last
+        confirmed as current.
     """
 
     start: int = -1
