--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_learned.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_learned.py
@@ -18,9 +18,9 @@
 class _Override:
     """A report that contradicts the replica's entry.
 
-    :param layers: held according to the entry, but not to the report.
+    :param layers: according to the entry; the report has others.
     :param at: when the report arrived, in monotonic seconds.
-    :param deferred: the last entry received since that still lists them.
+    :param deferred: the last entry received since with the same layers.
     """
 
     layers: LayerRange | None
@@ -42,7 +42,10 @@
     _overrides: dict[str, _Override] = field(default_factory=dict)
 
     def add(self, name: str, layers: LayerRange | None, now: float) -> None:
-        """Record that a replica reported not to hold some layers."""
+        """Record that a report contradicts the layers in a replica's entry.
+
+        :param layers: according to the entry.
+        """
         self._overrides[name] = _Override(layers, now)
 
     def remove(self, name: str) -> None:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_missing.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_missing.py
@@ -53,9 +53,9 @@
         return [name for name, span in self._spans.items() if span.until <= now]
 
     def find_longest(self, names: Iterable[str], now: float) -> float:
-        """Return for how many seconds the first of some has been missing.
+        """Return the longest time for which any of some has been missing.
 
-        :returns: 0 if none of them is missing.
+        :returns: seconds; 0 if none of them is missing.
         """
         found = (self._spans.get(name) for name in names)
         return max((now - span.since for span in found if span), default=0)
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
@@ -60,9 +60,10 @@
         self._leaving_since: dict[str, float] = {}
 
     def find_missing(self, names: Iterable[str]) -> float:
-        """Return for how long an entry of some replicas has been missing.
+        """Return the longest time for which an entry of some is missing.
 
-        :returns: seconds, the longest of them; 0 if all are listed.
+        :param names: of the replicas.
+        :returns: seconds; 0 if all of them are listed.
         """
         return self._missing.find_longest(names, self._clock.monotonic())
 
@@ -155,9 +156,8 @@
     def end(self, replica: Replica) -> None:
         """Record a crash: another replica responds at this one's address.
 
-        The entry stays until three heartbeats are missing. Without the record,
-        requests would be sent to the address meanwhile, and the replica's
-        layers would not be loaded elsewhere.
+        The entry stays until three heartbeats are missing. No request can be
+        served by this replica meanwhile, and its layers are loaded elsewhere.
         """
         if replica.name in self.replicas:
             self._mark_crashed(replica)
@@ -169,10 +169,10 @@
         due = self._missing.list_due(now)
         for name in due:
             self._drop(name)
-        waiting = self._overrides.pop_due(now, self.known.at)
-        for replica in waiting:
+        deferred = self._overrides.pop_due(now, self.known.at)
+        for replica in deferred:
             self._put(replica)
-        if waiting or due:
+        if deferred or due:
             self._notify()
 
     def list_service(self, service: str) -> list[Replica]:
--- a/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
@@ -31,7 +31,7 @@
 RESTART_SECONDS = 5.0
 """How long to keep contacting a lost node, as it may restart."""
 
-MAX_SKIPPED_NODES = 4
+MAX_TRIED_NODES = 4
 """Number of nodes tried in one round while none of them can be reached."""
 
 _REPLY_SECONDS = 0.4
@@ -84,7 +84,7 @@
 
     async def _contact_successor(self) -> None:
         successors = list_successors(self.local_name, self.list_nodes())
-        for peer in itertools.islice(successors, MAX_SKIPPED_NODES):
+        for peer in itertools.islice(successors, MAX_TRIED_NODES):
             if await self._contact(peer):
                 return
 
--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
@@ -151,10 +151,10 @@
         return ListReply(known=True, at=self.at, age=age, packed=packed)
 
     def has_update(self, since: int, received: float) -> bool:
-        """Whether a watch need not wait any longer.
+        """Whether the reply to a watch request need not wait any longer.
 
         This is so if there are changes, or if the state was confirmed as
-        current after the request.
+        current after the request arrived.
 
         :param since: revision that the requester has.
         :param received: when the request arrived, in monotonic seconds.
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_service.py
@@ -52,10 +52,11 @@
     """Exchanges the changes of the store's objects with peers.
 
     A reply of a peer is as reliable as one of the store. It contains the age
-    of the peer's state, measured by the peer's clock alone, and the requester
-    counts the age from the time at which it sent the request. A peer that is
-    cut off from the store, unresponsive or behind gets no requests during a
-    cooldown, and the store is watched as if there were no peers.
+    of the peer's state, and the requester dates it from the time at which it
+    sent the request, so that each side measures time by its own clock only. A
+    peer that is cut off from the store, unresponsive or behind gets no
+    requests during a cooldown, and the store is watched as if there were no
+    peers.
 
     :param server: serves the requests of peers.
     :param wanted: kinds of object that this node requires to serve.
