--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -57,7 +57,7 @@
             object.__setattr__(self, 'entry', self.name)
 
 
-def name_life(entry: str, born: int) -> str:
+def name_incarnation(entry: str, born: int) -> str:
     """Name the life of a replica that the registry lists under an entry.
 
     :param born: milliseconds; 0 where lives are not told apart.
@@ -85,24 +85,24 @@
 
     Times are for all layers; a part of them takes its share.
 
-    :param cache_mb: memory of one token in one layer.
+    :param kv_cache_mb: memory of one token in one layer.
     :param step_ms: of one token step, whatever the batch.
-    :param writer_ms: added to a step for each request that writes.
-    :param read_per_ms: tokens of prompts read in a millisecond.
+    :param sequence_ms: added to a step for each request that writes.
+    :param prefill_tokens_per_ms: tokens of prompts read in a millisecond.
     :param load_seconds: to load all layers.
-    :param usual_prompt: mean tokens of a prompt.
-    :param usual_answer: mean tokens of an answer.
+    :param typical_prompt: mean tokens of a prompt.
+    :param typical_answer: mean tokens of an answer.
     """
 
     layers: int
     layer_mb: float
-    cache_mb: float
+    kv_cache_mb: float
     step_ms: float
-    writer_ms: float
-    read_per_ms: float
+    sequence_ms: float
+    prefill_tokens_per_ms: float
     load_seconds: float
-    usual_prompt: float
-    usual_answer: float
+    typical_prompt: float
+    typical_answer: float
     accelerators: Mapping[str, Accelerator]
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
@@ -190,7 +190,7 @@
     def _refuse(self, shed: Shed) -> Failure:
         # Callers turned away together would come back together; the jitter
         # spreads them.
-        spread = 1 + JITTER * self._app.chance.random()
+        spread = 1 + JITTER * self._app.random_source.random()
         return Failure(
             HTTPStatus.TOO_MANY_REQUESTS,
             shed.reason,
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
@@ -4,7 +4,7 @@
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.membership import DepartureTerms
+from ryelatch_core.membership import DepartureBounds
 
 UNKNOWN_AGE_SECONDS = 1e9
 """Age reported when nothing was ever confirmed, as JSON has no infinity."""
@@ -23,7 +23,7 @@
 
     log: LineLog
     clock: Clock
-    terms: DepartureTerms
+    terms: DepartureBounds
     at: float = float('-inf')
     _fresh: bool = True
 
@@ -35,7 +35,7 @@
     @property
     def left(self) -> float:
         """Seconds until the list exceeds its maximum age."""
-        return self.terms.oldest - self.age
+        return self.terms.max_age - self.age
 
     def confirm(self, confirmed_at: float) -> None:
         """Record that the list held every change made up to a time.
@@ -52,7 +52,7 @@
             self.log.record(
                 catalogue.REGISTRY_FRESH if fresh else catalogue.REGISTRY_STALE,
                 list_age=self.round_age(),
-                oldest=self.terms.oldest,
+                max_age=self.terms.max_age,
             )
 
     def round_age(self) -> float:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
@@ -10,10 +10,10 @@
     LayerRange,
     Replica,
     Suspects,
-    name_life,
+    name_incarnation,
 )
 from ryelatch_core.kernel import Clock, Hub
-from ryelatch_core.membership import DepartureTerms
+from ryelatch_core.membership import DepartureBounds
 from ryelatch_node.beliefs._known import Freshness
 from ryelatch_node.beliefs._learned import ReportOverrides
 from ryelatch_node.beliefs._leavers import LeavingIncarnations
@@ -40,7 +40,7 @@
         log: LineLog,
         clock: Clock,
         hub: Hub,
-        terms: DepartureTerms,
+        terms: DepartureBounds,
     ) -> None:
         self._index = ReplicaIndex()
         self.replicas: Mapping[str, Replica] = self._index.by_name
@@ -129,7 +129,7 @@
         if known is None or born < known.born:
             return
         if born > known.born:
-            name = name_life(known.entry, born)
+            name = name_incarnation(known.entry, born)
             self._missing.transfer(known.name, name)
             self._put(replace(known, name=name, born=born, layers=layers))
             self._notify()
@@ -312,7 +312,7 @@
         for four seconds would still keep replicas in use that left after it.
         """
         now = self._clock.monotonic()
-        until = unanswered + self.known.terms.kept
+        until = unanswered + self.known.terms.retention
         if self.replicas[name].leaving or until <= now:
             self._drop(name)
         elif self._missing.add(name, now, until):
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import CostBook, LineLog, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
     Replica,
-    misses_layers,
+    lacks_layers,
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
@@ -67,13 +67,13 @@
 
     :param missing: whether nobody holds some layer of a pool.
     :param ordered: names of replicas with an order under way.
-    :param thorough: whether pools may be laid out anew.
+    :param allow_relayout: whether pools may be laid out anew.
     """
 
     pools: _Pools
     missing: bool
     ordered: frozenset[str]
-    thorough: bool
+    allow_relayout: bool
 
 
 @dataclass(eq=False)
@@ -86,7 +86,7 @@
     replicas: ReplicaView
     orders: Orders
     lease: LeaseKeeper
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     _planned: _State | None = None
     _seen: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
@@ -141,7 +141,7 @@
     async def _tend(self) -> None:
         await self._book.review_late()
         now = self.clock.monotonic()
-        with self.costs.spend('look for gaps'):
+        with self.costs.measure_time('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
         self._timing.note_need(now, needed=needed)
@@ -150,7 +150,7 @@
         need_since = self._date_need(state)
         if not await self._take_turn(state, now, need_since):
             return
-        with self.costs.spend('plan'):
+        with self.costs.measure_time('plan'):
             moves = self._plan(state, now)
         # Where a plan orders nothing it stays as it is until something
         # changes. Made anew at each tick, plans took more than half of a
@@ -179,13 +179,13 @@
             pools=pools,
             missing=missing,
             ordered=self._book.open,
-            thorough=self._timing.may_lay_out(now) and not self._book.open,
+            allow_relayout=self._timing.may_lay_out(now) and not self._book.open,
         )
 
     def _misses_layers(self, pools: _Pools) -> bool:
         """Whether layers are missing; worked out when something changed."""
         if self._seen is None or self._seen[0] != pools:
-            missing = any(misses_layers(alive, model) for model, alive in pools)
+            missing = any(lacks_layers(alive, model) for model, alive in pools)
             self._seen = (pools, missing)
         return self._seen[1]
 
@@ -228,10 +228,10 @@
         moves = [
             move
             for model, alive in state.pools
-            for move in plan_moves(alive, model, thorough=state.thorough)
+            for move in plan_moves(alive, model, allow_relayout=state.allow_relayout)
             if move.replica.name not in state.ordered
         ]
-        if state.thorough and moves and self.lease.held:
+        if state.allow_relayout and moves and self.lease.held:
             self._timing.note_layout(now)
         return moves
 
@@ -252,12 +252,12 @@
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
         lease=LeaseKeeper(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            spread=app.chance.uniform(0, TAKE_SPREAD_SECONDS),
+            spread=app.random_source.uniform(0, TAKE_SPREAD_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_server.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryelatch_core.events import CostBook
+from ryelatch_core.events import UsageTracker
 from ryelatch_core.kernel import Clock, cancel_task
 from ryelatch_core.membership import NEVER
 from ryelatch_node.news._frames import (
@@ -62,7 +62,7 @@
     """
 
     clock: Clock
-    usage: CostBook
+    usage: UsageTracker
     caches: dict[str, WatchCache]
     find_trouble: Callable[[], StoreTrouble] = lambda: NO_TROUBLE
     answer_permit: Callable[[PermitQuestion], PermitReply] = _deny_permit
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryelatch_core.events import CostBook, LineLog, catalogue, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
 from ryelatch_core.membership import (
     NodeEntry,
@@ -69,7 +69,7 @@
     clock: Clock
     startup: RelayStartup
     dial: Dial = asyncio.open_connection
-    usage: CostBook = field(default_factory=CostBook)
+    usage: UsageTracker = field(default_factory=UsageTracker)
     address: Address = field(init=False)
     server: PeerServer = field(init=False)
     wanted: frozenset[str] = frozenset()
@@ -310,6 +310,6 @@
         app.find('log', LineLog),
         app.clock,
         app.find('startup', RelayStartup),
-        usage=app.find('costs', CostBook),
+        usage=app.find('costs', UsageTracker),
     )
     app.add(Service('news', news, start=news.start, stop=news.stop))
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -5,11 +5,11 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from ryelatch_core.events import CostBook, LineLog, catalogue
+from ryelatch_core.events import UsageTracker, LineLog, catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
-from ryelatch_core.throttle import BackoffBook, Heard, rank_limiters
+from ryelatch_core.throttle import BackoffTracker, ReportedLimit, rank_limiters
 from ryelatch_node.news import News, PermitReply
 from ryelatch_node.ports import AnswerTerms, RelayStartup
 from ryelatch_node.tasks import Tasks
@@ -50,9 +50,9 @@
     startup: RelayStartup
     news: News
     lines: PermitLines
-    costs: CostBook = field(default_factory=CostBook)
+    costs: UsageTracker = field(default_factory=UsageTracker)
     limiter: Limiter = field(init=False)
-    _backoffs: BackoffBook = field(default_factory=BackoffBook)
+    _backoffs: BackoffTracker = field(default_factory=BackoffTracker)
     _closed: dict[str, float] = field(default_factory=dict)
     _ranked: dict[str, list[NodeEntry]] = field(default_factory=dict)
     _ranked_nodes: tuple[NodeEntry, ...] = ()
@@ -79,8 +79,8 @@
         if terms.limit is None and not terms.signed:
             # A refusal or a spoiled answer need not say all that holds.
             return
-        heard = Heard(terms.limit, self.clock.monotonic())
-        changed = self.limiter.hear(name, heard)
+        heard = ReportedLimit(terms.limit, self.clock.monotonic())
+        changed = self.limiter.record_limit(name, heard)
         if changed and terms.limit is None:
             self._tasks.spawn(self._tell_free(name))
 
@@ -191,7 +191,7 @@
         asked = self.clock.monotonic()
         reply = await self.lines.ask(limiter, question)
         if reply is not None:
-            self.limiter.hear(name, Heard(reply.limit, asked - reply.age))
+            self.limiter.record_limit(name, ReportedLimit(reply.limit, asked - reply.age))
         return reply
 
     async def _tell_free(self, name: str) -> None:
@@ -210,6 +210,6 @@
         app.find('startup', RelayStartup),
         news,
         PermitLines(log, app.clock, news),
-        app.find('costs', CostBook),
+        app.find('costs', UsageTracker),
     )
     app.add(Service('throttle', throttle, ('news',), stop=throttle.stop))
--- a/tests/node/beliefs/test_lives.py
+++ b/tests/node/beliefs/test_lives.py
@@ -4,9 +4,9 @@
 
 from fake_clock import FakeClock
 from ryelatch_core.events import LineLog
-from ryelatch_core.fleet import LayerRange, Replica, name_life
+from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import NEVER, reckon_terms
+from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 
 _HELD = LayerRange(0, 8)
@@ -15,7 +15,7 @@
 def _make_view() -> tuple[ReplicaView, FakeClock]:
     clock = FakeClock()
     log = LineLog('node-a', clock, len)
-    return ReplicaView(log, clock, Hub(), reckon_terms(2, 3)), clock
+    return ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3)), clock
 
 
 def _make(
@@ -25,7 +25,7 @@
     address: str = '10.0.0.1:80',
 ) -> Replica:
     return Replica(
-        name_life(entry, born),
+        name_incarnation(entry, born),
         'model',
         address,
         'zone-a',
--- a/tests/node/beliefs/test_missing.py
+++ b/tests/node/beliefs/test_missing.py
@@ -7,16 +7,16 @@
 
 from fake_clock import FakeClock
 from ryelatch_core.events import LineLog
-from ryelatch_core.fleet import LayerRange, Replica, name_life
+from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import NEVER, reckon_terms
+from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 
 
 def _make_view() -> tuple[ReplicaView, FakeClock, Callable[[], list[str]]]:
     clock = FakeClock()
     log = LineLog('node-a', clock, len)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     for name in ('i-1', 'i-2'):
         view.put(_make(name))
 
@@ -49,7 +49,7 @@
     """
     view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=99)
-    clock.now = 99 + view.known.terms.kept - 0.01
+    clock.now = 99 + view.known.terms.retention - 0.01
     assert list_available() == ['i-1', 'i-2']
     clock.now += 0.02
     assert list_available() == ['i-2']
@@ -83,7 +83,7 @@
     clock.now = 101.5
     view.replace([_make('i-2')], unanswered=101.4)
     assert list_available() == ['i-1', 'i-2']
-    clock.now = 100 + view.known.terms.kept
+    clock.now = 100 + view.known.terms.retention
     view.replace([_make('i-2')], unanswered=102.2)
     assert list_available() == ['i-2']
 
@@ -117,7 +117,7 @@
     view, clock, list_available = _make_view()
     view.remove('i-1', unanswered=99.9)
     view.learn(view.replicas['i-1'], None, 2000)
-    assert list_available() == ['i-2', name_life('i-1', 2000)]
+    assert list_available() == ['i-2', name_incarnation('i-1', 2000)]
     clock.now += 5
     assert list_available() == ['i-2']
     view.drop_lapsed()
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryelatch_core.membership import SEND_SECONDS
+from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
 from virtual.loop import VirtualLoop, run
 from virtual.store import Trouble
 from virtual.world import World
@@ -42,7 +42,7 @@
     :param exempt: nodes that something has been done to.
     """
     world.leave(name)
-    await asyncio.sleep(world.drain - SEND_SECONDS)
+    await asyncio.sleep(world.drain - CONNECT_TIMEOUT_SECONDS)
     offering = {one.name for one in world.nodes.values() if one.offers(name)}
     assert not offering - set(exempt)
 
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ryelatch_core.quarantine import Manner
+from ryelatch_core.quarantine import RequestPhase
 from ryelatch_node.news import Heard
 from ryelatch_node.news._introduction import Introduction
 from ryelatch_platform._kinds import Kind
@@ -101,8 +101,8 @@
         world = World(4.0, 5.0, refuses=True)
         await world.start(names)
         for life in ('r-1', 'r-2', 'r-3'):
-            world.nodes[names[1]].quarantine.note_end(
-                _DIGEST, life, Manner.BEGUN, 'c-1'
+            world.nodes[names[1]].quarantine.record_crash(
+                _DIGEST, life, RequestPhase.BEGUN, 'c-1'
             )
         await asyncio.sleep(3)
         assert world.nodes[names[0]].quarantine.find_refused(_DIGEST)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -10,8 +10,8 @@
 from fleet.running import PLAIN_SERVICE, make_configuration, make_startup
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import NodeEntry, reckon_terms
-from ryelatch_core.quarantine import Book
+from ryelatch_core.membership import NodeEntry, compute_departure_bounds
+from ryelatch_core.quarantine import CrashTracker
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.news import News
 from ryelatch_node.ports import Address
@@ -79,7 +79,7 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self.view.drop_lapsed()
-            self.quarantine.judge()
+            self.quarantine.evaluate()
 
 
 @dataclass(eq=False)
@@ -165,7 +165,7 @@
         startup = make_startup(1)._replace(
             name=name, zone=self._find_zone(name)
         )
-        terms = reckon_terms(self.drain, self.steady)
+        terms = compute_departure_bounds(self.drain, self.steady)
         view = ReplicaView(log, clock, Hub(), terms)
         configuration = ConfigurationView(log, clock, startup.revoke_seconds)
         store = StoreClient(
@@ -178,7 +178,7 @@
         news.address = Address(name, 1)
         patience = crc32(name.encode()) % 100 / 100
         quarantine = Quarantine(
-            log, clock, make_quarantine_store(store), Book(patience)
+            log, clock, make_quarantine_store(store), CrashTracker(patience)
         )
         kinds = [
             follow_configuration(log, configuration),
