--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
@@ -1,4 +1,4 @@
-"""The views as services of a node."""
+"""Adds the views of the configuration and the replicas to a node."""
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, Service
@@ -14,8 +14,6 @@
     log = app.find('log', LineLog)
     configuration = ConfigurationView(log, app.clock, startup.revoke_seconds)
     app.add(Service('configuration', configuration))
-    terms = compute_departure_bounds(
-        startup.drain_seconds, startup.steady_seconds
-    )
+    terms = compute_departure_bounds(startup.drain_seconds, startup.steady_seconds)
     replicas = ReplicaView(log, app.clock, app.hub, terms)
     app.add(Service('replicas', replicas))
