--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
@@ -16,14 +16,14 @@
 class Freshness:
     """When the list of replicas was last current, and its maximum age.
 
-    :param terms: time bounds on requests to replicas that have left.
+    :param bounds: time bounds on requests to replicas that have left.
     :param at: monotonic seconds at which the list was last confirmed to
         hold every change.
     """
 
     log: LineLog
     clock: Clock
-    terms: DepartureBounds
+    bounds: DepartureBounds
     at: float = float('-inf')
     _fresh: bool = True
 
@@ -35,7 +35,7 @@
     @property
     def left(self) -> float:
         """Seconds until the list exceeds its maximum age."""
-        return self.terms.max_age - self.age
+        return self.bounds.max_age - self.age
 
     def confirm(self, confirmed_at: float) -> None:
         """Record that the list held every change made up to a time.
@@ -52,7 +52,7 @@
             self.log.record(
                 catalogue.REGISTRY_FRESH if fresh else catalogue.REGISTRY_STALE,
                 list_age=self.round_age(),
-                max_age=self.terms.max_age,
+                max_age=self.bounds.max_age,
             )
 
     def round_age(self) -> float:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_lives.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_lives.py
@@ -72,7 +72,7 @@
 
     def _find_order(self, replica: Replica) -> tuple[int, int]:
         """Return a sort key: time of start, then order of appearance here."""
-        return replica.born, self._seen.get(replica.name, 0)
+        return replica.started_at, self._seen.get(replica.name, 0)
 
 
 def _conflict(one: Replica, other: Replica) -> bool:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
@@ -32,7 +32,7 @@
 class ReplicaView:
     """Replicas that the registry lists, and which of them may get new work.
 
-    :param terms: time bounds on requests to replicas that have left.
+    :param bounds: time bounds on requests to replicas that have left.
     """
 
     def __init__(
@@ -40,14 +40,14 @@
         log: LineLog,
         clock: Clock,
         hub: Hub,
-        terms: DepartureBounds,
+        bounds: DepartureBounds,
     ) -> None:
         self._index = ReplicaIndex()
         self.replicas: Mapping[str, Replica] = self._index.by_name
         self.listed = False
         # Number of registry entries that name no usable replica.
         self.refused = 0
-        self.known = Freshness(log, clock, terms)
+        self.freshness = Freshness(log, clock, bounds)
         self._log = log
         self._clock = clock
         self._hub = hub
@@ -109,11 +109,11 @@
         self._handle_missing(replica.name, unanswered)
         self._notify()
 
-    def learn(
+    def apply_report(
         self,
         replica: Replica,
         layers: LayerRange | None,
-        born: int,
+        started_at: int,
     ) -> None:
         """Apply a replica's report, which may be newer than its entry.
 
@@ -122,16 +122,18 @@
         refused.
 
         :param layers: the layers that the replica holds.
-        :param born: start time of the incarnation that sent the report; 0 if
-            the report doesn't include it.
+        :param started_at: start time of the incarnation that sent the report;
+            0 if the report doesn't include it.
         """
         known = self.replicas.get(replica.name)
-        if known is None or born < known.born:
+        if known is None or started_at < known.started_at:
             return
-        if born > known.born:
-            name = name_incarnation(known.entry, born)
+        if started_at > known.started_at:
+            name = name_incarnation(known.entry, started_at)
             self._missing.transfer(known.name, name)
-            self._put(replace(known, name=name, born=born, layers=layers))
+            self._put(
+                replace(known, name=name, started_at=started_at, layers=layers)
+            )
             self._notify()
             return
         if layers == known.layers:
@@ -141,7 +143,7 @@
         self._overrides.add(known.name, known.layers, self._clock.monotonic())
         self._notify()
 
-    def note_leaving(self, replica: Replica) -> None:
+    def record_leaving(self, replica: Replica) -> None:
         """Record a replica's report that it leaves.
 
         An entry that still says ready doesn't revoke the report.
@@ -163,13 +165,13 @@
             self._mark_crashed(replica)
             self._notify()
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop replicas missing for too long, and apply deferred entries."""
         now = self._clock.monotonic()
         due = self._missing.list_due(now)
         for name in due:
             self._drop(name)
-        deferred = self._overrides.pop_due(now, self.known.at)
+        deferred = self._overrides.pop_due(now, self.freshness.at)
         for replica in deferred:
             self._put(replica)
         if deferred or due:
@@ -191,12 +193,12 @@
             and replica.name not in due
         ]
 
-    def offers(self, replica: Replica) -> bool:
+    def is_available(self, replica: Replica) -> bool:
         """Whether a replica may get new work now."""
         available = self.list_service(replica.service)
         return any(other.name == replica.name for other in available)
 
-    def list_alive(self, service: str) -> list[Replica]:
+    def list_reachable(self, service: str) -> list[Replica]:
         """List the replicas of a service that aren't considered lost."""
         lost = self.list_unreachable()
         return [
@@ -247,7 +249,7 @@
             )
             self._notify()
 
-    def trust(self, replica: Replica) -> None:
+    def clear_suspicion(self, replica: Replica) -> None:
         """Clear the suspicion of a replica that has responded."""
         self._suspects.clear(replica.name)
         self._unreachable.clear(replica.name)
@@ -271,13 +273,13 @@
         if self.replicas.get(replica.name) == replica:
             return
         now = self._clock.monotonic()
-        if self._overrides.defer(replica, now, self.known.at):
+        if self._overrides.defer(replica, now, self.freshness.at):
             return
         for crashed in self._incarnations.list_replaced(replica, related):
             self._mark_crashed(crashed)
         self._index.put(replica)
         if replica.leaving:
-            self._leaving_since.setdefault(replica.name, self.known.at)
+            self._leaving_since.setdefault(replica.name, self.freshness.at)
         else:
             self._leaving_since.pop(replica.name, None)
         held = replica.layers
@@ -312,14 +314,14 @@
         for four seconds would still keep replicas in use that left after it.
         """
         now = self._clock.monotonic()
-        until = unanswered + self.known.terms.retention
+        until = unanswered + self.freshness.bounds.retention
         if self.replicas[name].leaving or until <= now:
             self._drop(name)
         elif self._missing.add(name, now, until):
             self._log.record(
                 catalogue.REPLICA_LAPSED,
                 replica=name,
-                list_age=self.known.round_age(),
+                list_age=self.freshness.round_age(),
                 kept=round(until - now, _DIGITS),
             )
 
@@ -331,5 +333,5 @@
             self._log.record(
                 catalogue.REPLICA_GONE,
                 replica=name,
-                list_age=self.known.round_age(),
+                list_age=self.freshness.round_age(),
             )
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -193,7 +193,7 @@
     def _list_alive(self, service: str, now: float) -> list[Replica]:
         return [
             self._book.foresee(replica, now)
-            for replica in self.replicas.list_alive(service)
+            for replica in self.replicas.list_reachable(service)
         ]
 
     def _date_need(self, state: _State) -> float:
--- a/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
@@ -1,20 +1,24 @@
 """Shares the store's changes among nodes, so that few of them watch it."""
 
-from ryelatch_node.news._frames import Change, PermitQuestion, PermitReply
-from ryelatch_node.news._line import FAILURES, Line, open_line
-from ryelatch_node.news._memory import Blind, Heard, StoreTrouble
-from ryelatch_node.news._service import News, setup
+from ryelatch_node.news._frames import Change, PermitReply, PermitRequest
+from ryelatch_node.news._line import (
+    REQUEST_ERRORS,
+    PeerConnection,
+    connect_to_peer,
+)
+from ryelatch_node.news._memory import PeerCutOff, StoreHealth, StoreUpdate
+from ryelatch_node.news._service import PeerSync, setup
 
 __all__ = [
-    'FAILURES',
-    'Blind',
+    'REQUEST_ERRORS',
     'Change',
-    'Heard',
-    'Line',
-    'News',
-    'PermitQuestion',
+    'PeerConnection',
+    'PeerCutOff',
+    'PeerSync',
     'PermitReply',
-    'StoreTrouble',
-    'open_line',
+    'PermitRequest',
+    'StoreHealth',
+    'StoreUpdate',
+    'connect_to_peer',
     'setup',
 ]
--- a/packages/ryelatch-node/src/ryelatch_node/news/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_frames.py
@@ -59,9 +59,7 @@
     whole: bool = False
 
 
-class PermitQuestion(
-    msgspec.Struct, frozen=True, array_like=True, tag='permit'
-):
+class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag='permit'):
     """Requests permission to send a request to a replica.
 
     :param replica: name of the replica's incarnation.
--- a/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
@@ -19,10 +19,10 @@
 from ryelatch_node.news._frames import BootstrapMessage, BootstrapReply
 from ryelatch_node.news._line import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    Line,
-    open_line,
+    PeerConnection,
+    connect_to_peer,
 )
 
 BOOTSTRAP_INTERVAL_SECONDS = 0.2
@@ -58,7 +58,7 @@
     is_synced: Callable[[], bool]
     is_store_out: Callable[[], bool]
     clock: Clock
-    _connection: Line | None = None
+    _connection: PeerConnection | None = None
     _search_until: float = 0
 
     async def run(self) -> None:
@@ -104,14 +104,14 @@
                     connection,
                     BootstrapMessage(self.local_name, tuple(self.list_nodes())),
                 )
-        except FAILURES:
+        except REQUEST_ERRORS:
             # Timeouts included. The node may be down; the next may be up.
             self._drop()
             return False
         self.log.record(catalogue.NODE_GREETED, peer=peer.name)
         return True
 
-    async def _open(self, peer: NodeEntry) -> Line:
+    async def _open(self, peer: NodeEntry) -> PeerConnection:
         connection = self._connection
         if (
             connection is None
@@ -119,16 +119,18 @@
             or connection.address != peer.address
         ):
             self._drop()
-            connection = await open_line(self.dial, peer.address)
+            connection = await connect_to_peer(self.dial, peer.address)
             self._connection = connection
         return connection
 
-    async def _send(self, connection: Line, message: BootstrapMessage) -> bool:
+    async def _send(
+        self, connection: PeerConnection, message: BootstrapMessage
+    ) -> bool:
         """Send a message to a node.
 
         :returns: whether the node has the state it needs to serve.
         """
-        reply = await connection.ask(message)
+        reply = await connection.send_request(message)
         return msgspec.msgpack.decode(reply, type=BootstrapReply).knows
 
     def _drop(self) -> None:
--- a/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
@@ -18,23 +18,23 @@
 )
 from ryelatch_node.news._line import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    open_line,
+    connect_to_peer,
 )
-from ryelatch_node.news._memory import Heard
+from ryelatch_node.news._memory import StoreUpdate
 
 LIST_SECONDS = 0.7
 """Longest wait for all objects of a kind, which may be two megabytes."""
 
 
 @dataclass(eq=False)
-class Introduction:
+class BootstrapClient:
     """Receives bootstrap messages, and lists objects from their sender.
 
     :param is_synced: whether this node has the state it needs to serve.
     :param accept_nodes: called with the list of nodes that a peer sent.
-    :param greeted: set while there is a peer to list objects from.
+    :param peer_available: set while there is a peer to list objects from.
     """
 
     log: LineLog
@@ -42,7 +42,7 @@
     dial: Dial
     is_synced: Callable[[], bool]
     accept_nodes: Callable[[tuple[NodeEntry, ...]], None]
-    greeted: asyncio.Event = field(default_factory=asyncio.Event)
+    peer_available: asyncio.Event = field(default_factory=asyncio.Event)
     _source: NodeEntry | None = None
 
     def handle_message(self, message: BootstrapMessage) -> BootstrapReply:
@@ -55,10 +55,10 @@
             self.log.record(
                 catalogue.GREETING_TAKEN, peer=source.name, nodes=len(nodes)
             )
-            self.greeted.set()
+            self.peer_available.set()
         return BootstrapReply(self.is_synced())
 
-    async def ask_whole(self, kind: str) -> Heard | None:
+    async def request_list(self, kind: str) -> StoreUpdate | None:
         """Request all objects of a kind from the peer that made contact.
 
         :returns: nothing if no peer has, or if the request fails; this node
@@ -72,7 +72,7 @@
             async with asyncio.timeout(CONNECT_SECONDS + LIST_SECONDS):
                 reply = await self._exchange(peer, ListRequest(kind))
             changes = unpack(reply.packed)
-        except FAILURES as error:
+        except REQUEST_ERRORS as error:
             # Timeouts included.
             self._abandon(peer, kind, type(error).__name__)
             return None
@@ -82,23 +82,23 @@
         unanswered = (
             None if reply.unanswered is None else sent - reply.unanswered
         )
-        return Heard(reply.at, sent - reply.age, changes, unanswered)
+        return StoreUpdate(reply.at, sent - reply.age, changes, unanswered)
 
     async def _exchange(
         self,
         peer: NodeEntry,
         request: ListRequest,
     ) -> ListReply:
-        connection = await open_line(self.dial, peer.address)
+        connection = await connect_to_peer(self.dial, peer.address)
         try:
-            body = await connection.ask(request)
+            body = await connection.send_request(request)
         finally:
             connection.drop()
         return msgspec.msgpack.decode(body, type=ListReply)
 
     def _abandon(self, peer: NodeEntry, kind: str, reason: str) -> None:
         self._source = None
-        self.greeted.clear()
+        self.peer_available.clear()
         self.log.record(
             catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
         )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_line.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_line.py
@@ -18,12 +18,12 @@
 ]
 """Function that opens a connection to a host and port."""
 
-FAILURES = (OSError, EOFError, ValueError, msgspec.MsgspecError)
+REQUEST_ERRORS = (OSError, EOFError, ValueError, msgspec.MsgspecError)
 """Exceptions that a failed request raises; timeouts are among them."""
 
 
 @dataclass(eq=False)
-class Line:
+class PeerConnection:
     """An open connection to a peer.
 
     :param address: ``host:port`` of the peer.
@@ -39,7 +39,7 @@
         reader = self.reader
         return reader.at_eof() or reader.exception() is not None
 
-    async def ask(self, request: msgspec.Struct) -> bytes:
+    async def send_request(self, request: msgspec.Struct) -> bytes:
         """Send a request and read the body of the reply.
 
         :raises OSError: if the connection is lost.
@@ -55,7 +55,7 @@
         self.writer.transport.abort()
 
 
-async def open_line(dial: Dial, address: str) -> Line:
+async def connect_to_peer(dial: Dial, address: str) -> PeerConnection:
     """Connect to a peer.
 
     :param address: ``host:port`` of the peer.
@@ -64,4 +64,4 @@
     host, _, port = address.rpartition(':')
     async with asyncio.timeout(CONNECT_SECONDS):
         reader, writer = await dial(host, int(port))
-    return Line(address, reader, writer)
+    return PeerConnection(address, reader, writer)
--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class StoreUpdate:
     """Changes of a kind of object, received from the store or from a peer.
 
     :param at: revision of the store up to which all changes are included.
-    :param known: monotonic seconds at which that revision was last
+    :param confirmed_at: monotonic seconds at which that revision was last
         confirmed as current.
     :param changes: the changes, or all objects in reply to a list request.
     :param unanswered: monotonic seconds at which the peer sent the last call
@@ -50,14 +50,14 @@
     """
 
     at: int
-    known: float
+    confirmed_at: float
     changes: tuple[Change, ...] = ()
     unanswered: float | None = None
     out: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class StoreTrouble:
+class StoreHealth:
     """Availability of the store, as a node observes it.
 
     :param unanswered: when the last call that the store left unanswered was
@@ -69,12 +69,12 @@
     out: bool = False
 
 
-NO_TROUBLE = StoreTrouble()
+STORE_HEALTHY = StoreHealth()
 """State of a node whose calls the store has all answered."""
 
 
 @dataclass(frozen=True, slots=True)
-class Blind:
+class PeerCutOff:
     """Reply of a peer that is cut off from the store, so its state is too old.
 
     :param unanswered: monotonic seconds at which the peer sent the last call
@@ -99,11 +99,11 @@
     at: int = -1
     confirmed_at: float = float('-inf')
     _objects: dict[str, bytes] = field(default_factory=dict)
-    _updates: deque[Heard] = field(default_factory=deque)
+    _updates: deque[StoreUpdate] = field(default_factory=deque)
     _packed: dict[int, bytes] = field(default_factory=dict)
     _recorded: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def reset(self, update: Heard, objects: Mapping[str, bytes]) -> None:
+    def reset(self, update: StoreUpdate, objects: Mapping[str, bytes]) -> None:
         """Replace everything by a complete list.
 
         The changes that led to the list are unknown, so a peer at an earlier
@@ -116,7 +116,7 @@
         self.start = update.at
         self._advance(update)
 
-    def record(self, update: Heard) -> None:
+    def record(self, update: StoreUpdate) -> None:
         """Add an update that follows on the previous one."""
         if update.changes:
             self._updates.append(update)
@@ -218,13 +218,13 @@
         """Whether all changes since a revision are kept."""
         return self.start >= 0 and self.start <= since <= self.at
 
-    def _list_updates(self, since: int) -> list[Heard]:
+    def _list_updates(self, since: int) -> list[StoreUpdate]:
         return [update for update in self._updates if update.at > since]
 
-    def _advance(self, update: Heard) -> None:
+    def _advance(self, update: StoreUpdate) -> None:
         if update.at != self.at or update.changes:
             self._packed.clear()
         self.at = update.at
-        self.confirmed_at = max(self.confirmed_at, update.known)
+        self.confirmed_at = max(self.confirmed_at, update.confirmed_at)
         self._recorded.set()
         self._recorded = asyncio.Event()
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_server.py
@@ -16,31 +16,31 @@
     BootstrapReply,
     ListReply,
     ListRequest,
-    PermitQuestion,
     PermitReply,
+    PermitRequest,
     WatchReply,
     WatchRequest,
     encode,
     read_body,
 )
-from ryelatch_node.news._line import FAILURES
+from ryelatch_node.news._line import REQUEST_ERRORS
 from ryelatch_node.news._memory import (
-    NO_TROUBLE,
+    STORE_HEALTHY,
     UNKNOWN_AGE_SECONDS,
-    StoreTrouble,
+    StoreHealth,
     WatchCache,
 )
 from ryelatch_node.news._rests import COOLDOWN_SECONDS
 
 _AnyRequest: TypeAlias = (
-    WatchRequest | PermitQuestion | BootstrapMessage | ListRequest
+    WatchRequest | PermitRequest | BootstrapMessage | ListRequest
 )
 
 MAX_WAIT_SECONDS = 30.0
 """Longest wait that a peer may request."""
 
 
-def _deny_permit(request: PermitQuestion) -> PermitReply:
+def _deny_permit(request: PermitRequest) -> PermitReply:
     return PermitReply(False, COOLDOWN_SECONDS, request.limit, request.age)
 
 
@@ -53,8 +53,8 @@
     """Serves watches, lists and permits to peers.
 
     :param caches: objects and recent changes of the store, by kind.
-    :param find_trouble: returns the store's availability to this node.
-    :param answer_permit: grants or denies a permit to a peer.
+    :param find_store_health: returns the store's availability to this node.
+    :param handle_permit_request: grants or denies a permit to a peer.
     :param handle_message: handles the message of a peer that introduces
         itself.
     :param last_watched: when a peer last requested a watch that it could have
@@ -64,8 +64,8 @@
     clock: Clock
     usage: UsageTracker
     caches: dict[str, WatchCache]
-    find_trouble: Callable[[], StoreTrouble] = lambda: NO_TROUBLE
-    answer_permit: Callable[[PermitQuestion], PermitReply] = _deny_permit
+    find_store_health: Callable[[], StoreHealth] = lambda: STORE_HEALTHY
+    handle_permit_request: Callable[[PermitRequest], PermitReply] = _deny_permit
     handle_message: Callable[[BootstrapMessage], BootstrapReply] = (
         _ignore_message
     )
@@ -84,7 +84,7 @@
         try:
             while True:
                 await self._serve_request(reader, writer)
-        except FAILURES:
+        except REQUEST_ERRORS:
             # The peer is lost, or the client is not a peer. A peer retries, or
             # sends its request to the store.
             return
@@ -110,8 +110,8 @@
         body = await read_body(reader)
         request = msgspec.msgpack.decode(body, type=_AnyRequest)
         match request:
-            case PermitQuestion():
-                frame = encode(self.answer_permit(request))
+            case PermitRequest():
+                frame = encode(self.handle_permit_request(request))
             case BootstrapMessage():
                 frame = encode(self.handle_message(request))
             case ListRequest():
@@ -127,7 +127,7 @@
             return ListReply(known=False)
         now = self.clock.monotonic()
         reply = cache.make_list_reply(now)
-        unanswered = self.find_trouble().unanswered
+        unanswered = self.find_store_health().unanswered
         if unanswered > NEVER:
             reply = msgspec.structs.replace(reply, unanswered=now - unanswered)
         return reply
@@ -138,10 +138,10 @@
             self.last_watched = received
         reply = await self._make_watch_reply(request, received)
         now = self.clock.monotonic()
-        trouble = self.find_trouble()
-        if trouble.unanswered > NEVER:
+        health = self.find_store_health()
+        if health.unanswered > NEVER:
             reply = msgspec.structs.replace(
-                reply, unanswered=now - trouble.unanswered, out=trouble.out
+                reply, unanswered=now - health.unanswered, out=health.out
             )
         frame = encode(reply)
         if request.kind in self.caches:
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/_service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryelatch_core.events import UsageTracker, LineLog, catalogue, keep_running
+from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
 from ryelatch_core.membership import (
     NodeEntry,
@@ -22,17 +22,17 @@
     unpack,
 )
 from ryelatch_node.news._greeter import Bootstrapper
-from ryelatch_node.news._introduction import Introduction
+from ryelatch_node.news._introduction import BootstrapClient
 from ryelatch_node.news._line import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    Line,
-    open_line,
+    PeerConnection,
+    connect_to_peer,
 )
 from ryelatch_node.news._memory import (
-    Blind,
-    Heard,
+    PeerCutOff,
+    StoreUpdate,
     WatchCache,
 )
 from ryelatch_node.news._rests import COOLDOWN_SECONDS, PeerCooldowns
@@ -48,7 +48,7 @@
 
 
 @dataclass(eq=False)
-class News:
+class PeerSync:
     """Exchanges the changes of the store's objects with peers.
 
     A reply of a peer is as reliable as one of the store. It contains the age
@@ -59,9 +59,9 @@
     peers.
 
     :param server: serves the requests of peers.
-    :param wanted: kinds of object that this node requires to serve.
-    :param tell_count: called with the number of nodes that a peer listed.
-    :param introduction: provides the initial state from a peer if this node
+    :param required_kinds: kinds of object that this node requires to serve.
+    :param announce_count: called with the number of nodes that a peer listed.
+    :param bootstrap_client: provides the initial state from a peer if this node
         starts during a store outage.
     """
 
@@ -72,28 +72,28 @@
     usage: UsageTracker = field(default_factory=UsageTracker)
     address: Address = field(init=False)
     server: PeerServer = field(init=False)
-    wanted: frozenset[str] = frozenset()
-    tell_count: Callable[[int], None] = _ignore_count
-    introduction: Introduction = field(init=False)
+    required_kinds: frozenset[str] = frozenset()
+    announce_count: Callable[[int], None] = _ignore_count
+    bootstrap_client: BootstrapClient = field(init=False)
     _caches: dict[str, WatchCache] = field(
         default_factory=lambda: defaultdict(WatchCache)
     )
     _nodes: tuple[NodeEntry, ...] = ()
-    _connections: dict[str, Line] = field(default_factory=dict)
+    _connections: dict[str, PeerConnection] = field(default_factory=dict)
     _listener: asyncio.Server | None = None
     _bootstrap_task: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
         """Create the server, the bootstrap client and the cooldowns."""
         self.server = PeerServer(self.clock, self.usage, self._caches)
-        self.introduction = Introduction(
+        self.bootstrap_client = BootstrapClient(
             self.log,
             self.clock,
             self.dial,
             lambda: self._is_synced,
             self._accept_nodes,
         )
-        self.server.handle_message = self.introduction.handle_message
+        self.server.handle_message = self.bootstrap_client.handle_message
         self._cooldowns = PeerCooldowns(self.clock)
 
     async def start(self) -> None:
@@ -104,9 +104,9 @@
         )
         bound = self._listener.sockets[0].getsockname()
         self.address = Address(host, bound[1])
-        self.start_greeting()
+        self.start_bootstrapper()
 
-    def start_greeting(self) -> None:
+    def start_bootstrapper(self) -> None:
         """Begin to contact nodes that start during a store outage."""
         bootstrapper = Bootstrapper(
             self.log,
@@ -114,7 +114,7 @@
             self.dial,
             lambda: self._nodes,
             lambda: self._is_synced,
-            lambda: self.server.find_trouble().out,
+            lambda: self.server.find_store_health().out,
             self.clock,
         )
         self._bootstrap_task = asyncio.create_task(
@@ -130,14 +130,14 @@
             self._drop(kind)
         await self.server.stop()
 
-    def know(self, nodes: Iterable[NodeEntry]) -> None:
+    def update_nodes(self, nodes: Iterable[NodeEntry]) -> None:
         """Set the list of all nodes, this one included."""
         self._nodes = tuple(nodes)
 
-    def restart(
+    def reset(
         self,
         kind: str,
-        update: Heard,
+        update: StoreUpdate,
         objects: Mapping[str, bytes],
     ) -> None:
         """Replace the cached objects of a kind by a complete list.
@@ -148,7 +148,7 @@
         """
         self._caches[kind].reset(update, objects)
 
-    def keep(self, kind: str, name: str, change: Change) -> None:
+    def apply_change(self, kind: str, name: str, change: Change) -> None:
         """Apply a change to the objects that peers list here.
 
         Peers do so if they can't list at the store.
@@ -160,34 +160,34 @@
         else:
             self._caches[kind].put(name, change.content)
 
-    def note(self, kind: str, update: Heard) -> None:
+    def record(self, kind: str, update: StoreUpdate) -> None:
         """Record the result of a watch, from the store or from a peer."""
         self._caches[kind].record(update)
 
-    async def ask(
+    async def request_changes(
         self,
         kind: str,
         since: int,
         wait: float,
         *,
-        oldest: float,
-        alone: bool,
-    ) -> Heard | Blind | None:
+        max_age: float,
+        cut_off: bool,
+    ) -> StoreUpdate | PeerCutOff | None:
         """Request the changes of a kind from a peer.
 
         :param since: revision of the store that this node has.
         :param wait: seconds after which the peer replies without changes.
-        :param oldest: maximum age of the peer's state, in seconds.
-        :param alone: whether the store is unavailable to this node; if so, a
+        :param max_age: maximum age of the peer's state, in seconds.
+        :param cut_off: whether the store is unavailable to this node; if so, a
             node that watches for others sends requests to peers, too.
         :returns: nothing if there is no peer to ask, if the request fails, or
             if the reply can't be used.
         """
-        peer = self._choose_peer(alone=alone)
+        peer = self._choose_peer(cut_off=cut_off)
         if peer is None:
             return None
         sent = self.clock.monotonic()
-        request = WatchRequest(kind, since, wait, alone)
+        request = WatchRequest(kind, since, wait, cut_off)
         try:
             async with asyncio.timeout(wait + CONNECT_SECONDS + REPLY_SECONDS):
                 reply = await self._exchange(kind, peer, request)
@@ -196,7 +196,7 @@
             # The outstanding reply would be read as that to the next request.
             self._drop(kind)
             raise
-        except FAILURES as error:
+        except REQUEST_ERRORS as error:
             # Timeouts included: the peer may be unresponsive.
             self._abandon(kind, peer, type(error).__name__)
             return None
@@ -204,15 +204,15 @@
         unanswered = (
             None if reply.unanswered is None else replied - reply.unanswered
         )
-        if reply.age <= oldest:
+        if reply.age <= max_age:
             if not reply.covered:
                 return None
-            return Heard(
+            return StoreUpdate(
                 reply.at, replied - reply.age, changes, unanswered, reply.out
             )
         reason = 'blind' if reply.out else 'behind'
         self._abandon(kind, peer, reason, answered=True)
-        return None if unanswered is None else Blind(unanswered)
+        return None if unanswered is None else PeerCutOff(unanswered)
 
     @property
     def nodes(self) -> tuple[NodeEntry, ...]:
@@ -220,7 +220,7 @@
         return self._nodes
 
     @property
-    def shares(self) -> bool:
+    def has_watchers(self) -> bool:
         """Whether the fleet has nodes that watch the store for others."""
         return shares_watches(self._nodes)
 
@@ -242,21 +242,21 @@
     @property
     def _is_synced(self) -> bool:
         """Whether this node has the state it needs to serve."""
-        return self.wanted <= self._caches.keys()
+        return self.required_kinds <= self._caches.keys()
 
     def _accept_nodes(self, nodes: tuple[NodeEntry, ...]) -> None:
         """Use a peer's list of nodes, unless this node has one."""
         if not self._nodes:
-            self.know(nodes)
-            self.tell_count(len(nodes))
+            self.update_nodes(nodes)
+            self.announce_count(len(nodes))
 
-    def _choose_peer(self, *, alone: bool) -> NodeEntry | None:
+    def _choose_peer(self, *, cut_off: bool) -> NodeEntry | None:
         """Choose the peer to watch through; none to watch the store itself."""
-        if not alone and (not self.shares or self.watches_for_others):
+        if not cut_off and (not self.has_watchers or self.watches_for_others):
             return None
         local_name, zone = self.startup.name, self.startup.zone
         offered = choose_watchers(local_name, zone, self._nodes)
-        store_out = self.shares and self.server.find_trouble().out
+        store_out = self.has_watchers and self.server.find_store_health().out
         return next(
             (
                 peer
@@ -277,11 +277,11 @@
         connection = self._connections.get(kind)
         if connection is None or connection.address != peer.address:
             self._drop(kind)
-            connection = await open_line(self.dial, peer.address)
+            connection = await connect_to_peer(self.dial, peer.address)
             self._connections[kind] = connection
         self.usage.count('peers', kind, 'questions')
         return msgspec.msgpack.decode(
-            await connection.ask(request), type=WatchReply
+            await connection.send_request(request), type=WatchReply
         )
 
     def _abandon(
@@ -305,11 +305,13 @@
 
 
 def setup(app: App) -> None:
-    """Add the service ``news``."""
-    news = News(
+    """Add the service ``peer_sync``."""
+    peer_sync = PeerSync(
         app.find('log', LineLog),
         app.clock,
         app.find('startup', RelayStartup),
         usage=app.find('costs', UsageTracker),
     )
-    app.add(Service('news', news, start=news.start, stop=news.stop))
+    app.add(
+        Service('news', peer_sync, start=peer_sync.start, stop=peer_sync.stop)
+    )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -25,7 +25,7 @@
         return True
     if await context.throttle.take(replica):
         # The replica may have left while the permit was requested.
-        return context.replicas.offers(replica)
+        return context.replicas.is_available(replica)
     exchange.record(catalogue.PERMIT_DENIED, replica=replica.name)
     return False
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
@@ -90,4 +90,6 @@
         """
         if report.holding is not None and not report.busy:
             holding = report.holding
-            self.context.replicas.learn(replica, holding.layers, holding.born)
+            self.context.replicas.apply_report(
+                replica, holding.layers, holding.born
+            )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -62,12 +62,12 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self._context.replicas.drop_lapsed()
+            self._context.replicas.drop_expired()
             self._context.budget.refill(HOUSEKEEPING_SECONDS)
             self._forget_removed()
             self._context.quarantine.evaluate()
             self._context.configuration.allows_keys()
-            self._context.replicas.known.check()
+            self._context.replicas.freshness.check()
             self._server.apply_limits()
             self._context.log.report_dropped()
             if (
@@ -114,7 +114,7 @@
             'streams_open': lambda: len(watch.streams),
             'configuration_version': lambda: context.configuration.version,
             'configuration_age_seconds': lambda: context.configuration.age,
-            'registry_age_seconds': lambda: context.replicas.known.age,
+            'registry_age_seconds': lambda: context.replicas.freshness.age,
             'replicas_listed': lambda: len(context.replicas.replicas),
             'entries_refused': lambda: context.replicas.refused,
             'replicas_suspected': lambda: len(context.replicas.list_suspects()),
@@ -211,6 +211,6 @@
             return
         throttle.note_answer(replica, terms)
         if terms.leaving:
-            replicas.note_leaving(replica)
+            replicas.record_leaving(replica)
 
     return on_answer
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -306,7 +306,7 @@
         profile = find_profile(self.context, service)
         if profile is None:
             return False
-        alive = self.context.replicas.list_alive(service)
+        alive = self.context.replicas.list_reachable(service)
         names = {replica.name for replica in alive}
         lost = [
             stage for stage in stream.path if stage.replica.name not in names
--- a/tests/node/news/test_memory.py
+++ b/tests/node/news/test_memory.py
@@ -4,17 +4,17 @@
 import random
 
 from ryelatch_node.news._frames import Change, unpack
-from ryelatch_node.news._memory import MAX_PACKED_BYTES, Heard, WatchCache
+from ryelatch_node.news._memory import MAX_PACKED_BYTES, StoreUpdate, WatchCache
 
 _CHANGE = Change(b'{}', False)
 
 
 def _make_cache() -> WatchCache:
     cache = WatchCache()
-    cache.reset(Heard(10, 1), {})
-    cache.record(Heard(12, 2, (_CHANGE,)))
-    cache.record(Heard(15, 3, (_CHANGE, _CHANGE)))
-    cache.record(Heard(15, 4))
+    cache.reset(StoreUpdate(10, 1), {})
+    cache.record(StoreUpdate(12, 2, (_CHANGE,)))
+    cache.record(StoreUpdate(15, 3, (_CHANGE, _CHANGE)))
+    cache.record(StoreUpdate(15, 4))
     return cache
 
 
@@ -36,7 +36,7 @@
 def test_changes_before_a_new_list_are_not_told() -> None:
     """The store lost its history, so changes before the list are unknown."""
     cache = _make_cache()
-    cache.reset(Heard(20, 5), {})
+    cache.reset(StoreUpdate(20, 5), {})
     assert not cache.make_reply(15, 6, 7).covered
     assert cache.make_reply(20, 6, 7).covered
 
@@ -54,7 +54,7 @@
     """Thirty nodes would each get 100 kB several times a second otherwise."""
     cache = _make_cache()
     content = random.Random(1).randbytes(MAX_PACKED_BYTES + 1)
-    cache.record(Heard(17, 5, (Change(content, False),)))
+    cache.record(StoreUpdate(17, 5, (Change(content, False),)))
     assert not cache.make_reply(15, 6, 7).covered
     assert cache.make_reply(15, 6, 7, whole=True).covered
 
@@ -65,6 +65,6 @@
     waiting = asyncio.create_task(cache.wait(15, 5, 10))
     await asyncio.sleep(0)
     assert not waiting.done()
-    cache.record(Heard(15, 6))
+    cache.record(StoreUpdate(15, 6))
     async with asyncio.timeout(1):
         await waiting
--- a/tests/node/news/test_nonsense.py
+++ b/tests/node/news/test_nonsense.py
@@ -15,7 +15,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import News
+from ryelatch_node.news import PeerSync
 from ryelatch_node.news._frames import (
     WatchReply,
     WatchRequest,
@@ -40,7 +40,7 @@
         """Do nothing, as writes are never buffered."""
 
 
-def _make_news(reply: bytes) -> News:
+def _make_news(reply: bytes) -> PeerSync:
     """Make a node whose peers all send the same reply."""
 
     async def dial(*_: Any) -> Any:
@@ -50,16 +50,18 @@
 
     clock = BootClock()
     startup = make_startup(1)._replace(name=_NAMES[-1])
-    news = News(LineLog('node', clock, len), clock, startup, dial)
-    news.know(
+    peer_sync = PeerSync(LineLog('node', clock, len), clock, startup, dial)
+    peer_sync.update_nodes(
         NodeEntry(name, 'zone-a', f'{name}:1', 100 if name == _NAMES[0] else 10)
         for name in _NAMES
     )
-    return news
+    return peer_sync
 
 
-async def _ask(news: News) -> Any:
-    return await news.ask('servers', 5, 0.1, oldest=2, alone=False)
+async def _ask(peer_sync: PeerSync) -> Any:
+    return await peer_sync.request_changes(
+        'servers', 5, 0.1, max_age=2, cut_off=False
+    )
 
 
 async def test_sound_reply_is_heard() -> None:
@@ -79,10 +81,12 @@
         WatchRequest('servers', 7, 0),
     ],
 )
-async def test_nonsense_costs_a_line_and_a_detour(reply: Any) -> None:
-    news = _make_news(encode(reply))
-    assert await _ask(news) is None
-    assert news.log.counts['watcher-left'] == 1
+async def test_malformed_reply_is_logged_peer_abandoned(
+    reply: Any,
+) -> None:
+    peer_sync = _make_news(encode(reply))
+    assert await _ask(peer_sync) is None
+    assert peer_sync.log.counts['watcher-left'] == 1
 
 
 async def test_stranger_leaves_no_memory_behind() -> None:
@@ -90,16 +94,16 @@
 
     A cache for each of them would let any client exhaust the memory.
     """
-    news = _make_news(b'')
+    peer_sync = _make_news(b'')
     reader = asyncio.StreamReader()
     for number in range(1000):
         reader.feed_data(encode(WatchRequest(f'kind-{number}', 0, 0)))
     reader.feed_eof()
     written: list[bytes] = []
-    await news.server.serve(reader, _Writer(written))  # type: ignore[arg-type]
+    await peer_sync.server.serve(reader, _Writer(written))  # type: ignore[arg-type]
     replies = asyncio.StreamReader()
     replies.feed_data(b''.join(written))
     first = msgspec.msgpack.decode(await read_body(replies), type=WatchReply)
     assert len(written) == 1000
     assert not first.covered
-    assert not news._caches
+    assert not peer_sync._caches
