--- a/packages/ryelatch-node/src/ryelatch_node/admission/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who may start when: queues of client accounts at this node."""
+"""Admission control: fair queuing of requests by client account."""
 
 from ryelatch_node.admission._service import Admission, Pass, setup
 
--- a/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
@@ -1,4 +1,4 @@
-"""Fair queues, one a model or plain service, and the wait in them."""
+"""Admits requests through fair queues, one per model or non-model service."""
 
 import asyncio
 import itertools
@@ -21,32 +21,39 @@
 )
 from ryelatch_node.config import SettingsApplied, SettingsHolder
 
-# Retry-After counts whole seconds, so the spread has to be seconds wide.
-JITTER = 3.0
+JITTER_FACTOR = 3.0
+"""Maximum jitter of a Retry-After time, as a multiple of that time.
+
+Retry-After has a resolution of one second, so the jitter has to span several
+seconds.
+"""
 
 
 @dataclass(frozen=True)
 class Pass:
-    """Leave to start; given back with the work done."""
+    """A slot held by an admitted request until it is released."""
 
     model: str
     ticket: Ticket
 
 
 class Admission:
-    """Lets requests start in order of their accounts' shares.
+    """Admits requests according to the fair shares of client accounts.
+
+    Slots and per-account caps depend on the demand at all nodes, which peers
+    report to each other.
 
-    :param name: of this node, under which it counts its own demand.
+    :param name: name of this node, under which its own demand is counted.
     """
 
     def __init__(self, app: App, holder: SettingsHolder, name: str) -> None:
         self.queues: dict[str, FairQueue] = {}
-        self.remote: dict[str, dict[str, dict[str, int]]] = {}
+        self.peer_demands: dict[str, dict[str, dict[str, int]]] = {}
         self._app = app
-        self._holder = holder
+        self._settings_holder = holder
         self.count_nodes: Callable[[], int] = lambda: 1
         self._name = name
-        self._numbers = itertools.count(1)
+        self._ticket_numbers = itertools.count(1)
         self._waiters: dict[int, asyncio.Future[Failure | None]] = {}
         app.hub.connect(SettingsApplied, lambda _: self.resize())
 
@@ -56,15 +63,17 @@
         account: AccountEntry,
         work: float,
     ) -> Result[Pass, Failure]:
-        """Wait for leave to start a request.
+        """Wait until a request may start.
 
-        :param work: positions that it is expected to run.
+        :param work: estimated number of token positions it will compute.
+        :returns: the slot that it holds, or the failure to send to the client
+            if its queue is full or it waited too long.
         """
         queue = self._find_queue(model)
         policy = account.policy
         now = self._app.clock.monotonic()
         ticket = Ticket(
-            next(self._numbers),
+            next(self._ticket_numbers),
             account.path,
             policy.weight,
             work,
@@ -89,13 +98,13 @@
             self._waiters.pop(ticket.number, None)
         return Ok(Pass(model, ticket)) if failure is None else Err(failure)
 
-    def release(self, granted: Pass, work: float) -> None:
-        """Give back leave, with the work that the request really took."""
-        self._find_queue(granted.model).finish(granted.ticket, work)
-        self._dispatch(granted.model)
+    def release(self, slot: Pass, work: float) -> None:
+        """Release a slot, and account for the work that was actually done."""
+        self._find_queue(slot.model).finish(slot.ticket, work)
+        self._dispatch(slot.model)
 
     def list_demands(self) -> dict[str, dict[str, int]]:
-        """List this node's demand by model and account, for peers."""
+        """List the demand at this node by model and account, for its peers."""
         return {
             model: queue.count_demand()
             for model, queue in self.queues.items()
@@ -103,44 +112,44 @@
         }
 
     def apply_peer(self, peer: str, demands: dict[str, dict[str, int]]) -> None:
-        """Take in a peer's demand, whole."""
-        self.remote[peer] = demands
+        """Replace the demand that a peer reported earlier."""
+        self.peer_demands[peer] = demands
         self.resize()
 
     def drop_peer(self, peer: str) -> None:
-        """Forget a peer that is not heard of any more."""
-        if self.remote.pop(peer, None) is not None:
+        """Discard the demand of a peer that is draining or disconnected."""
+        if self.peer_demands.pop(peer, None) is not None:
             self.resize()
 
     def resize(self) -> None:
-        """Work out slots and caps anew from settings and demands."""
+        """Recompute slots and caps from the settings and all nodes' demand."""
         for model in list(self.queues):
-            self._resize_one(model, self.queues[model])
+            self._resize_queue(model, self.queues[model])
             self._dispatch(model)
 
     def _find_queue(self, model: str) -> FairQueue:
         if model not in self.queues:
             self.queues[model] = FairQueue(1)
-            self._resize_one(model, self.queues[model])
+            self._resize_queue(model, self.queues[model])
         return self.queues[model]
 
-    def _resize_one(self, model: str, queue: FairQueue) -> None:
-        settings = self._holder.settings
-        known = settings.models.get(model) or settings.services.get(model)
-        if known is None:
+    def _resize_queue(self, model: str, queue: FairQueue) -> None:
+        settings = self._settings_holder.settings
+        served = settings.models.get(model) or settings.services.get(model)
+        if served is None:
             return
-        heard = len(self.remote) + 1
-        nodes = max(heard, self.count_nodes())
-        demands = self._gather(model, queue)
+        reporting_nodes = len(self.peer_demands) + 1
+        nodes = max(reporting_nodes, self.count_nodes())
+        demands = self._collect_demands(model, queue)
         if not demands:
-            queue.slots = max(1, known.slots // nodes)
+            queue.slots = max(1, served.slots // nodes)
             queue.caps = {}
             return
         queue.caps = cap_accounts(
-            known.slots, demands, self._name, nodes, heard
+            served.slots, demands, self._name, nodes, reporting_nodes
         )
         queue.slots = max(
-            known.slots // nodes,
+            served.slots // nodes,
             sum(
                 cap
                 for account, cap in queue.caps.items()
@@ -148,17 +157,19 @@
             ),
         )
 
-    def _gather(self, model: str, queue: FairQueue) -> dict[str, Demand]:
+    def _collect_demands(
+        self, model: str, queue: FairQueue
+    ) -> dict[str, Demand]:
         by_account: dict[str, dict[str, int]] = {}
         views = {
             peer: demands.get(model, {})
-            for peer, demands in self.remote.items()
+            for peer, demands in self.peer_demands.items()
         }
         views[self._name] = queue.count_demand()
         for node, counts in views.items():
             for account, count in counts.items():
                 by_account.setdefault(account, {})[node] = count
-        accounts = self._holder.directory.by_path
+        accounts = self._settings_holder.directory.by_path
         return {
             account: Demand(accounts[account].policy.weight, nodes)
             for account, nodes in by_account.items()
@@ -188,9 +199,9 @@
             self._dispatch(model)
 
     def _refuse(self, shed: Shed) -> Failure:
-        # Callers turned away together would come back together; the jitter
-        # spreads them.
-        spread = 1 + JITTER * self._app.chance.random()
+        # Without jitter, clients that are refused together would retry
+        # together.
+        spread = 1 + JITTER_FACTOR * self._app.chance.random()
         return Failure(
             HTTPStatus.TOO_MANY_REQUESTS,
             shed.reason,
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class HeldLease:
     """A lease that this node believes to hold.
 
     :param renewed: monotonic seconds before the last write of it was begun.
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class _Sighting:
+class _ObservedVersion:
     """A version of another's lease and since when it has stood."""
 
     version: str
@@ -49,101 +49,107 @@
         clock: Clock,
         name: str,
     ) -> None:
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, HeldLease] = {}
         self._store = store
         self._timeline = timeline
         self._clock = clock
         self._name = name
-        self._seen: dict[str, _Sighting] = {}
+        self._observed: dict[str, _ObservedVersion] = {}
 
-    async def take(self, duty: str) -> bool:
+    async def take(self, task: str) -> bool:
         """Take a lease if nobody holds it; tell whether it is held now."""
-        if duty in self.held:
-            return await self.renew(duty)
-        begun = self._clock.monotonic()
-        found = await self._store.get(_key(duty))
+        if task in self.held:
+            return await self.renew(task)
+        started = self._clock.monotonic()
+        found = await self._store.get(_key(task))
         entry = found.ok()
         if entry is None and found.unwrap_err().value != 'missing':
             return False
-        known = _decode(entry) if entry else None
-        wanted = take_lease(known, self._name, self._note(duty, entry, begun))
-        if wanted is None:
+        current = _decode(entry) if entry else None
+        new_lease = take_lease(
+            current, self._name, self._measure_unchanged(task, entry, started)
+        )
+        if new_lease is None:
             return False
-        return await self._write(duty, wanted, entry, begun)
+        return await self._write(task, new_lease, entry, started)
 
-    async def renew(self, duty: str) -> bool:
+    async def renew(self, task: str) -> bool:
         """Renew a lease, which also proves that nobody else has taken it."""
-        held = self.held[duty]
-        begun = self._clock.monotonic()
+        held = self.held[task]
+        started = self._clock.monotonic()
         written = await self._store.update(
-            _key(duty), _encode(held.lease), held.version
+            _key(task), _encode(held.lease), held.version
         )
         if written.is_err():
-            self._lose(duty, written.unwrap_err().value)
+            self._drop(task, written.unwrap_err().value)
             return False
-        self.held[duty] = Held(
-            held.lease, written.unwrap().version, begun, held.taken
+        self.held[task] = HeldLease(
+            held.lease, written.unwrap().version, started, held.taken
         )
         return True
 
-    async def release(self, duty: str) -> None:
+    async def release(self, task: str) -> None:
         """Give a lease back."""
-        held = self.held.pop(duty, None)
+        held = self.held.pop(task, None)
         if held is not None:
             body = _encode(release_lease(held.lease))
-            await self._store.update(_key(duty), body, held.version)
+            await self._store.update(_key(task), body, held.version)
             self._timeline.record(
-                catalogue.LEASE_LOST, duty=duty, reason='released'
+                catalogue.LEASE_LOST, duty=task, reason='released'
             )
 
-    def may_order(self, duty: str) -> bool:
+    def may_order(self, task: str) -> bool:
         """Tell whether an order may be sent under a lease by now."""
-        held = self.held.get(duty)
+        held = self.held.get(task)
         if held is None:
             return False
         return may_order(held.renewed, held.taken, self._clock.monotonic())
 
-    def _note(self, duty: str, entry: Entry | None, now: float) -> float:
+    def _measure_unchanged(
+        self, task: str, entry: Entry | None, now: float
+    ) -> float:
         """Note the version of a lease; seconds since it was first seen."""
         if entry is None:
             return 0
-        seen = self._seen.get(duty)
-        if seen is None or seen.version != entry.version:
-            seen = _Sighting(entry.version, now)
-            self._seen[duty] = seen
-        return now - seen.since
+        observed = self._observed.get(task)
+        if observed is None or observed.version != entry.version:
+            observed = _ObservedVersion(entry.version, now)
+            self._observed[task] = observed
+        return now - observed.since
 
     async def _write(
         self,
-        duty: str,
-        wanted: Lease,
+        task: str,
+        new_lease: Lease,
         entry: Entry | None,
-        begun: float,
+        started: float,
     ) -> bool:
-        body = _encode(wanted)
+        body = _encode(new_lease)
         if entry is None:
-            written = await self._store.create(_key(duty), body)
+            written = await self._store.create(_key(task), body)
         else:
-            written = await self._store.update(_key(duty), body, entry.version)
+            written = await self._store.update(_key(task), body, entry.version)
         if written.is_err():
             return False
         # Only a holder that lapsed may have an order under way; one that gave
         # the lease back has waited for its own.
-        lapsed = entry is not None and not _decode(entry).released
-        taken = self._clock.monotonic() if lapsed else begun - ORDER_SECONDS
-        self.held[duty] = Held(wanted, written.unwrap().version, begun, taken)
+        expired = entry is not None and not _decode(entry).released
+        taken = self._clock.monotonic() if expired else started - ORDER_SECONDS
+        self.held[task] = HeldLease(
+            new_lease, written.unwrap().version, started, taken
+        )
         self._timeline.record(
-            catalogue.LEASE_TAKEN, duty=duty, fence=wanted.fence
+            catalogue.LEASE_TAKEN, duty=task, fence=new_lease.fence
         )
         return True
 
-    def _lose(self, duty: str, reason: str) -> None:
-        del self.held[duty]
-        self._timeline.record(catalogue.LEASE_LOST, duty=duty, reason=reason)
+    def _drop(self, task: str, reason: str) -> None:
+        del self.held[task]
+        self._timeline.record(catalogue.LEASE_LOST, duty=task, reason=reason)
 
 
-def _key(duty: str) -> str:
-    return f'leases/{duty}'
+def _key(task: str) -> str:
+    return f'leases/{task}'
 
 
 def _encode(lease: Lease) -> bytes:
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -17,10 +17,10 @@
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams import EngineLink, Upstreams
 
-LOOK_SECONDS = 0.25
+CHECK_SECONDS = 0.25
 GRACE_SECONDS = 0.75
-RANK_SECONDS = 1.0
-_SEEN_SECONDS = 2.0
+TURN_SECONDS = 1.0
+_CONFIRMATION_SECONDS = 2.0
 
 
 class Repair:
@@ -31,51 +31,51 @@
     idle fleet writes nothing to the store.
     """
 
-    def __init__(self, app: App, keeper: LeaseKeeper, name: str) -> None:
+    def __init__(self, app: App, leases: LeaseKeeper, name: str) -> None:
         self._app = app
-        self._keeper = keeper
+        self._leases = leases
         self._name = name
         self._timeline = app.find('timeline', Timeline)
-        self._holder = app.find('settings', SettingsHolder)
+        self._settings_holder = app.find('settings', SettingsHolder)
         self._upstreams = app.find('upstreams', Upstreams)
-        self._since: dict[str, float] = {}
+        self._missing_since: dict[str, float] = {}
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start looking."""
         self._session = aiohttp.ClientSession()
-        self._task = asyncio.create_task(self._look())
+        self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
         """Give back all leases."""
         await cancel_task(self._task)
-        for duty in list(self._keeper.held):
-            await self._keeper.release(duty)
+        for task in list(self._leases.held):
+            await self._leases.release(task)
         if self._session is not None:
             await self._session.close()
 
-    async def _look(self) -> None:
+    async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            for name, model in self._holder.settings.models.items():
-                await self._mend(name, model)
+            await asyncio.sleep(CHECK_SECONDS)
+            for name, model in self._settings_holder.settings.models.items():
+                await self._repair_model(name, model)
 
-    async def _mend(self, name: str, model: Model) -> None:
-        duty = f'repair/{name}'
+    async def _repair_model(self, name: str, model: Model) -> None:
+        task = f'repair/{name}'
         move = self._plan(name, model)
         if move is None:
-            self._since.pop(name, None)
-            await self._keeper.release(duty)
+            self._missing_since.pop(name, None)
+            await self._leases.release(task)
             return
         now = self._app.clock.monotonic()
-        since = self._since.setdefault(name, now)
-        if now - since < GRACE_SECONDS + self._wait_turn(name):
+        since = self._missing_since.setdefault(name, now)
+        if now - since < GRACE_SECONDS + self._compute_turn_delay(name):
             return
-        if not await self._keeper.take(duty):
+        if not await self._leases.take(task):
             return
-        if self._keeper.may_order(duty):
-            await self._order(duty, name, model, move)
+        if self._leases.may_order(task):
+            await self._send_command(task, name, model, move)
 
     def _plan(self, name: str, model: Model) -> Move | None:
         links = self._upstreams.list_engines(name)
@@ -88,7 +88,7 @@
         ]
         return plan_repair(holdings, model.layers)
 
-    def _wait_turn(self, model: str) -> float:
+    def _compute_turn_delay(self, model: str) -> float:
         """Seconds by which this node lets others go first.
 
         All nodes see a gap at the same moment; without turns each would
@@ -101,11 +101,11 @@
                 f'{model} {node}'.encode()
             ).digest(),
         )
-        return names.index(self._name) * RANK_SECONDS
+        return names.index(self._name) * TURN_SECONDS
 
-    async def _order(
+    async def _send_command(
         self,
-        duty: str,
+        task: str,
         name: str,
         model: Model,
         move: Move,
@@ -114,9 +114,9 @@
         link = self._upstreams.links.get(move.name)
         if link is None or link.hello is None:
             return
-        rules = self._holder.settings.engines.get(link.hello.kind)
+        rules = self._settings_holder.settings.engines.get(link.hello.kind)
         checks_fence = rules is not None and rules.fencing
-        if not checks_fence and not await self._keeper.renew(duty):
+        if not checks_fence and not await self._leases.renew(task):
             # This engine would take an order from anyone. The renewal just
             # before is the only proof that the lease has not lapsed; what is
             # left is a pause between it and the engine's reading of the
@@ -125,14 +125,14 @@
                 catalogue.ORDER_REFUSED, upstream=move.name, reason='lapsed'
             )
             return
-        held = self._keeper.held[duty]
-        order = {
+        held = self._leases.held[task]
+        command = {
             'fence': held.lease.fence,
             'first': move.first,
             'last': move.last,
             'version': model.version,
         }
-        status = await self._post(link, order)
+        status = await self._post(link, command)
         kind = (
             catalogue.ORDER_SENT
             if status < HTTPStatus.BAD_REQUEST
@@ -147,42 +147,42 @@
             reason=move.reason,
             status=status,
         )
-        await self._wait_effect(link, move)
+        await self._wait_until_applied(link, move)
 
-    async def _post(self, link: EngineLink, order: dict[str, object]) -> int:
+    async def _post(self, link: EngineLink, command: dict[str, object]) -> int:
         if self._session is None:
             return 0
         try:
             async with self._session.post(
                 f'http://{link.vm.address}/v1/orders',
-                json=order,
+                json=command,
                 timeout=aiohttp.ClientTimeout(ORDER_SECONDS),
             ) as response:
                 return response.status
         except (aiohttp.ClientError, TimeoutError):
             return HTTPStatus.GATEWAY_TIMEOUT
 
-    async def _wait_effect(self, link: EngineLink, move: Move) -> None:
+    async def _wait_until_applied(self, link: EngineLink, move: Move) -> None:
         """Wait until the engine says itself that it holds the layers."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + _SEEN_SECONDS
-        while loop.time() < due:
+        deadline = loop.time() + _CONFIRMATION_SECONDS
+        while loop.time() < deadline:
             hello = link.hello
             if hello and (hello.first, hello.last) == (move.first, move.last):
                 return
-            await asyncio.sleep(LOOK_SECONDS / 4)
+            await asyncio.sleep(CHECK_SECONDS / 4)
 
 
 def setup(app: App) -> None:
     """Add the service ``repair``."""
     name = app.find('startup', Startup).name
-    keeper = LeaseKeeper(
+    leases = LeaseKeeper(
         app.find('store', Store),
         app.find('timeline', Timeline),
         app.clock,
         name,
     )
-    repair = Repair(app, keeper, name)
+    repair = Repair(app, leases, name)
     app.add(
         Service(
             'repair',
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
@@ -7,42 +7,42 @@
 from ryelatch_core.membership import Lease
 from ryelatch_node.ports import LeaseRecord, LeaseStore
 
-TAKE_SECONDS = 0.6
+TAKEOVER_SECONDS = 0.6
 """How long others leave a gap to a holder of the lease who does nothing.
 
 It acts within a few ms of knowing of a loss, and all know of it within half
 a second of each other.
 """
 
-WORK_SECONDS = 6.0
+RENEWED_TAKEOVER_SECONDS = 6.0
 """How long others leave a gap to a holder who has just renewed its lease.
 
 It renews before it orders. Thirty layers load in 5.3 s, and what it ordered
 goes on loading should it be lost meanwhile.
 """
 
-TAKE_SPREAD_SECONDS = 0.6
+BASE_JITTER_SECONDS = 0.6
 """Spread of that time over a small fleet, so that most see another's claim
 first."""
 
-SPREAD_NODES = 8
+BASE_JITTER_NODES = 8
 """Nodes of such a fleet; in a larger one the spread is longer in proportion.
 
 With one spread for all sizes, all of two hundred nodes would plan the same
 loss within half a second; so it is a dozen a second at any size.
 """
 
-LONGEST_SPREAD_SECONDS = 6.0
+MAX_JITTER_SECONDS = 6.0
 """Longest such spread: no longer than a holder at work is left alone.
 
 It bounds how late a lost holder is followed where few nodes of a large fleet
 are left.
 """
 
-RENEW_SECONDS = 2.0
+RENEWAL_SECONDS = 2.0
 """How often the lease is renewed while there is something to do."""
 
-AHEAD_SECONDS = 2.0
+HOLDER_LEAD_SECONDS = 2.0
 """How much sooner than this node the holder may have known of a need.
 
 Changes of the registry are gathered for up to 0.8 s, and a watch may hear
@@ -50,7 +50,7 @@
 itself was still made for it.
 """
 
-REST_SECONDS = 1.0
+CLAIM_COOLDOWN_SECONDS = 1.0
 """How long no claim is made after one that failed; calls are priced."""
 
 
@@ -58,7 +58,7 @@
 class LeaseKeeper:
     """The lease as this node knows it.
 
-    :param spread: seconds by which this node is more patient than others,
+    :param base_jitter: seconds by which this node is more patient than others,
         in a small fleet.
     :param holder: name of this life of the process.
     :param nodes: that may take the lease.
@@ -67,14 +67,14 @@
     log: LineLog
     clock: Clock
     store: LeaseStore
-    spread: float
+    base_jitter: float
     holder: str
     nodes: int = 1
     _record: LeaseRecord | None = None
     _record_since: float = 0
     _renewed: float = float('-inf')
-    _rest_until: float = 0
-    _given_up: bool = False
+    _cooldown_until: float = 0
+    _fenced: bool = False
 
     @property
     def held(self) -> bool:
@@ -85,7 +85,7 @@
     def fence(self) -> int | None:
         """The fencing number of this node; nothing if it is not the holder."""
         lease = self._record.lease if self._record else None
-        if lease is None or lease.holder != self.holder or self._given_up:
+        if lease is None or lease.holder != self.holder or self._fenced:
             return None
         return lease.fence
 
@@ -96,16 +96,16 @@
                 self._record_since = self.clock.monotonic()
             self._record = record
 
-    def give_up(self) -> None:
+    def mark_fenced(self) -> None:
         """Take note that another node has used a higher fencing number."""
-        self._given_up = True
+        self._fenced = True
 
     @property
-    def patience(self) -> float:
+    def jitter(self) -> float:
         """Seconds by which this node is more patient than others."""
-        factor = max(1, self.nodes / SPREAD_NODES)
-        most = LONGEST_SPREAD_SECONDS / TAKE_SPREAD_SECONDS
-        return self.spread * min(factor, most)
+        factor = max(1, self.nodes / BASE_JITTER_NODES)
+        max_factor = MAX_JITTER_SECONDS / BASE_JITTER_SECONDS
+        return self.base_jitter * min(factor, max_factor)
 
     def is_turn(self, now: float, need_since: float) -> bool:
         """Whether this node is the one to look after work.
@@ -113,11 +113,11 @@
         :param need_since: when the need for that work arose.
         """
         record = self._record
-        if record is None or now < self._rest_until:
+        if record is None or now < self._cooldown_until:
             return False
-        return self.held or now >= self._find_turn(record, need_since)
+        return self.held or now >= self._compute_turn(record, need_since)
 
-    async def secure(self, now: float, need_since: float) -> bool:
+    async def acquire(self, now: float, need_since: float) -> bool:
         """Renew or take the lease for work that is to be done now.
 
         :param need_since: when the need for that work arose.
@@ -126,10 +126,10 @@
         record = self._record
         if record is None or not self.is_turn(now, need_since):
             return False
-        fresh = self.held and now - self._renewed <= RENEW_SECONDS
-        return fresh or await self._claim(record)
+        renewed = self.held and now - self._renewed <= RENEWAL_SECONDS
+        return renewed or await self._claim(record)
 
-    def _find_turn(self, record: LeaseRecord, need_since: float) -> float:
+    def _compute_turn(self, record: LeaseRecord, need_since: float) -> float:
         """Tell when this node may take the lease.
 
         A holder that renewed after the need arose is at work. Counted from
@@ -137,10 +137,10 @@
         last, gives the same orders again, and each begins the load anew.
         """
         if record.lease is None:
-            return need_since + self.patience
-        if self._record_since > need_since - AHEAD_SECONDS:
-            return self._record_since + WORK_SECONDS + self.patience
-        return need_since + TAKE_SECONDS + self.patience
+            return need_since + self.jitter
+        if self._record_since > need_since - HOLDER_LEAD_SECONDS:
+            return self._record_since + RENEWED_TAKEOVER_SECONDS + self.jitter
+        return need_since + TAKEOVER_SECONDS + self.jitter
 
     async def _claim(self, record: LeaseRecord) -> bool:
         """Take or renew the lease by a conditional write."""
@@ -153,11 +153,11 @@
             self.log.record(catalogue.LEASE_LOST, fence=lease.fence)
             self._record_since = sent
             self._record = written or record
-            self._rest_until = sent + REST_SECONDS
+            self._cooldown_until = sent + CLAIM_COOLDOWN_SECONDS
             return False
         if not renewing:
             self.log.record(catalogue.LEASE_TAKEN, fence=lease.fence)
-        self._given_up = False
+        self._fenced = False
         self._record = written
         self._record_since = sent
         self._renewed = sent
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
@@ -24,7 +24,7 @@
 the two the replica carries out first makes it refuse the other.
 """
 
-BUSY_SECONDS = 2.0
+BUSY_COOLDOWN_SECONDS = 2.0
 """How long a replica that is busy with an earlier order is left alone.
 
 A usual answer lasts as long, and layers are given up when those that pass
@@ -43,7 +43,7 @@
 
 
 @dataclass(eq=False)
-class OrderBook:
+class CommandSender:
     """Gives orders under the lease, and keeps those that are under way."""
 
     log: LineLog
@@ -56,11 +56,11 @@
     _sequences: dict[str, int] = field(default_factory=dict)
 
     @property
-    def open(self) -> frozenset[str]:
+    def pending_names(self) -> frozenset[str]:
         """Names of the replicas with an order under way."""
         return frozenset(self._pending)
 
-    async def review_late(self) -> None:
+    async def check_overdue(self) -> None:
         """Ask replicas that are late with an order whether they are at it.
 
         One that gives up layers begins to load when the last answer through
@@ -74,16 +74,16 @@
             if name in listed
         }
         now = self.clock.monotonic()
-        late = [
+        overdue = [
             listed[name]
             for name, pending in self._pending.items()
             if pending.until < now
             and not pending.busy
             and listed[name].layers != pending.layers
         ]
-        await asyncio.gather(*map(self._review_one, late))
+        await asyncio.gather(*map(self._check_busy, overdue))
 
-    def foresee(self, replica: Replica, now: float) -> Replica:
+    def apply_pending(self, replica: Replica, now: float) -> Replica:
         """Take what a replica was ordered to hold for held."""
         pending = self._pending.get(replica.name)
         if pending is None:
@@ -94,50 +94,52 @@
             return replica
         return replace(replica, layers=pending.layers)
 
-    async def give(self, move: Move) -> OrderResult:
+    async def send(self, move: Move) -> OrderResult:
         """Order a replica to hold layers, and note what became of it."""
         replica = move.replica
-        result = await self._send(move)
+        result = await self._send_once(move)
         # Most often another node has given orders to this replica.
         conflict = result is OrderResult.CONFLICT
-        if conflict and await self._learn_state(replica):
-            result = await self._send(move)
-        self._settle(move, result, self.clock.monotonic())
+        if conflict and await self._refresh_sequence(replica):
+            result = await self._send_once(move)
+        self._handle_result(move, result, self.clock.monotonic())
         return result
 
-    async def _review_one(self, replica: Replica) -> None:
+    async def _check_busy(self, replica: Replica) -> None:
         report = await self.orders.read_report(replica)
         pending = self._pending.get(replica.name)
         if pending is not None and report is not None and report.busy:
-            until = self.clock.monotonic() + BUSY_SECONDS
+            until = self.clock.monotonic() + BUSY_COOLDOWN_SECONDS
             self._pending[replica.name] = replace(pending, until=until)
 
-    def _settle(self, move: Move, result: OrderResult, now: float) -> None:
+    def _handle_result(
+        self, move: Move, result: OrderResult, now: float
+    ) -> None:
         """Act on what became of an order."""
         replica = move.replica
-        steps: dict[OrderResult, Callable[[], None]] = {
-            OrderResult.BEGUN: lambda: self._expect(move, now),
-            OrderResult.HELD: lambda: self._expect(move, now),
-            OrderResult.UNANSWERED: lambda: self._await_late(move, now),
+        handlers: dict[OrderResult, Callable[[], None]] = {
+            OrderResult.BEGUN: lambda: self._expect_load(move, now),
+            OrderResult.HELD: lambda: self._expect_load(move, now),
+            OrderResult.UNANSWERED: lambda: self._expect_unanswered(move, now),
             # Going on would be refused again and again; the lease is followed
             # from the store.
-            OrderResult.FENCED: self.lease.give_up,
-            OrderResult.CONFLICT: lambda: self._leave_alone(
-                replica, now + BUSY_SECONDS
+            OrderResult.FENCED: self.lease.mark_fenced,
+            OrderResult.CONFLICT: lambda: self._mark_busy(
+                replica, now + BUSY_COOLDOWN_SECONDS
             ),
             OrderResult.MISSING: lambda: self.replicas.end(replica),
         }
-        steps.get(
+        handlers.get(
             result,
             lambda: self.replicas.suspect(replica, 'order refused', full=False),
         )()
 
-    def _await_late(self, move: Move, now: float) -> None:
+    def _expect_unanswered(self, move: Move, now: float) -> None:
         """Take an order without an answer for under way, for a while."""
         until = now + UNANSWERED_SECONDS
         self._pending[move.replica.name] = _Pending(move.layers, until)
 
-    def _leave_alone(self, replica: Replica, until: float) -> None:
+    def _mark_busy(self, replica: Replica, until: float) -> None:
         """Plan nothing for a replica that is busy with an earlier order.
 
         Asked again at once it refuses again, at the price of an order each.
@@ -147,7 +149,7 @@
                 replica.layers, until, busy=True
             )
 
-    async def _send(self, move: Move) -> OrderResult:
+    async def _send_once(self, move: Move) -> OrderResult:
         fence = self.lease.fence
         if fence is None:
             # Another node took the lease since this one renewed it. Its
@@ -158,22 +160,24 @@
         result = await self.orders.place(
             move.replica, move.layers, fence, sequence
         )
-        self._log_order(move, result, fence, sequence)
+        self._log_command(move, result, fence, sequence)
         if result is OrderResult.BEGUN:
             self._sequences[name] = sequence + 1
         return result
 
-    def _expect(self, move: Move, now: float) -> None:
+    def _expect_load(self, move: Move, now: float) -> None:
         table = self.configuration.table
         services = table.configuration.services if table else {}
-        terms = services.get(move.replica.service)
-        if terms is None or terms.model is None:
+        service = services.get(move.replica.service)
+        if service is None or service.model is None:
             return
-        share = len(move.layers) / terms.model.layers
-        until = now + share * terms.model.load_seconds + LOAD_MARGIN_SECONDS
+        fraction = len(move.layers) / service.model.layers
+        until = (
+            now + fraction * service.model.load_seconds + LOAD_MARGIN_SECONDS
+        )
         self._pending[move.replica.name] = _Pending(move.layers, until)
 
-    async def _learn_state(self, replica: Replica) -> bool:
+    async def _refresh_sequence(self, replica: Replica) -> bool:
         """Learn a replica's sequence; tell whether it may be ordered now."""
         report = await self.orders.read_report(replica)
         if report is None:
@@ -181,7 +185,7 @@
         self._sequences[replica.name] = report.sequence
         return not report.busy
 
-    def _log_order(
+    def _log_command(
         self,
         move: Move,
         result: OrderResult,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -19,8 +19,8 @@
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import TAKE_SPREAD_SECONDS, LeaseKeeper
-from ryelatch_node.duty._orders import OrderBook
+from ryelatch_node.duty._lease import BASE_JITTER_SECONDS, LeaseKeeper
+from ryelatch_node.duty._orders import CommandSender
 from ryelatch_node.duty._timing import PlanTiming
 from ryelatch_node.ports import (
     LeaseStore,
@@ -30,19 +30,19 @@
     RelayStartup,
 )
 
-GATHER_SECONDS = 0.05
+MIN_PLAN_INTERVAL_SECONDS = 0.05
 """Shortest time between two plans: changes come in runs."""
 
 TICK_SECONDS = 0.25
 
-IDLE_SECONDS = 1.0
+IDLE_TICK_SECONDS = 1.0
 """The same for a node that has nothing to look after.
 
 Only what expires shows at a tick; all else wakes it. Four looks a second at
 two hundred replicas are half a percent of a small core.
 """
 
-IMPROVE_SECONDS = 3.0
+IMPROVEMENT_DELAY_SECONDS = 3.0
 """How long others leave a change to the holder where no layer is missing.
 
 No request waits for it: an empty replica is put to use so much later if the
@@ -50,7 +50,7 @@
 """
 
 
-IMPROVE_SPREAD = 10
+IMPROVEMENT_JITTER_FACTOR = 10
 """By how much more others differ in patience then.
 
 Each of them that outlasts the holder's silence works out a plan, mostly to
@@ -62,17 +62,17 @@
 
 
 @dataclass(frozen=True)
-class _State:
+class _PlanInput:
     """What a plan depends on.
 
     :param missing: whether nobody holds some layer of a pool.
-    :param ordered: names of replicas with an order under way.
+    :param pending: names of replicas with an order under way.
     :param thorough: whether pools may be laid out anew.
     """
 
     pools: _Pools
     missing: bool
-    ordered: frozenset[str]
+    pending: frozenset[str]
     thorough: bool
 
 
@@ -86,17 +86,17 @@
     replicas: ReplicaView
     orders: Orders
     lease: LeaseKeeper
-    costs: CostBook = field(default_factory=CostBook)
-    _planned: _State | None = None
-    _seen: tuple[_Pools, bool] | None = None
+    usage: CostBook = field(default_factory=CostBook)
+    _planned: _PlanInput | None = None
+    _checked_pools: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
-    _book: OrderBook = field(init=False)
+    _commands: CommandSender = field(init=False)
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
         """Open the book of orders."""
-        self._book = OrderBook(
+        self._commands = CommandSender(
             self.log,
             self.clock,
             self.configuration,
@@ -119,7 +119,7 @@
         """Look again, as something has changed."""
         self._wake.set()
 
-    def share_among(self, counted: NodesCounted) -> None:
+    def set_node_count(self, counted: NodesCounted) -> None:
         """Be as patient as the number of nodes demands."""
         self.lease.nodes = counted.nodes
 
@@ -131,26 +131,26 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            await self._tend()
-            await asyncio.sleep(GATHER_SECONDS)
+            await self._reconcile()
+            await asyncio.sleep(MIN_PLAN_INTERVAL_SECONDS)
 
     def _choose_tick(self) -> float:
         busy = self.lease.held or self._timing.need_since is not None
-        return TICK_SECONDS if busy else IDLE_SECONDS
+        return TICK_SECONDS if busy else IDLE_TICK_SECONDS
 
-    async def _tend(self) -> None:
-        await self._book.review_late()
+    async def _reconcile(self) -> None:
+        await self._commands.check_overdue()
         now = self.clock.monotonic()
-        with self.costs.spend('look for gaps'):
+        with self.usage.spend('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
-        self._timing.note_need(now, needed=needed)
+        self._timing.record_need(now, needed=needed)
         if state is None or not needed:
             return
-        need_since = self._date_need(state)
-        if not await self._take_turn(state, now, need_since):
+        need_since = self._compute_need_since(state)
+        if not await self._acquire_turn(state, now, need_since):
             return
-        with self.costs.spend('plan'):
+        with self.usage.spend('plan'):
             moves = self._plan(state, now)
         # Where a plan orders nothing it stays as it is until something
         # changes. Made anew at each tick, plans took more than half of a
@@ -158,55 +158,58 @@
         self._planned = None if moves else state
         if not moves:
             return
-        if await self.lease.secure(self.clock.monotonic(), need_since):
-            await self._give(moves)
+        if await self.lease.acquire(self.clock.monotonic(), need_since):
+            await self._send_all(moves)
 
-    def _observe(self, now: float) -> _State | None:
+    def _observe(self, now: float) -> _PlanInput | None:
         """See what there is to plan for; nothing while the list grows."""
         table = self.configuration.table
         listed = self.replicas.replicas.values()
-        self._timing.note_replicas(listed, now)
+        self._timing.record_replicas(listed, now)
         if table is None or not self._timing.is_settled(listed, now):
             return None
         pools = tuple(
-            (terms.model, self._list_alive(terms.name, now))
-            for terms in table.configuration.services.values()
-            if terms.model is not None
+            (service.model, self._list_alive(service.name, now))
+            for service in table.configuration.services.values()
+            if service.model is not None
         )
-        missing = self._misses_layers(pools)
-        self._timing.note_gap(now, missing=missing)
-        return _State(
+        missing = self._lacks_layers(pools)
+        self._timing.record_gap(now, missing=missing)
+        return _PlanInput(
             pools=pools,
             missing=missing,
-            ordered=self._book.open,
-            thorough=self._timing.may_lay_out(now) and not self._book.open,
+            pending=self._commands.pending_names,
+            thorough=self._timing.may_relayout(now)
+            and not self._commands.pending_names,
         )
 
-    def _misses_layers(self, pools: _Pools) -> bool:
+    def _lacks_layers(self, pools: _Pools) -> bool:
         """Whether layers are missing; worked out when something changed."""
-        if self._seen is None or self._seen[0] != pools:
+        if self._checked_pools is None or self._checked_pools[0] != pools:
             missing = any(misses_layers(alive, model) for model, alive in pools)
-            self._seen = (pools, missing)
-        return self._seen[1]
+            self._checked_pools = (pools, missing)
+        return self._checked_pools[1]
 
     def _list_alive(self, service: str, now: float) -> list[Replica]:
         return [
-            self._book.foresee(replica, now)
+            self._commands.apply_pending(replica, now)
             for replica in self.replicas.list_alive(service)
         ]
 
-    def _date_need(self, state: _State) -> float:
+    def _compute_need_since(self, state: _PlanInput) -> float:
         """Tell since when there has been something to look after."""
         need_since = self._timing.need_since or self.clock.monotonic()
         if state.missing:
             return need_since
         return (
-            need_since + IMPROVE_SECONDS + IMPROVE_SPREAD * self.lease.patience
+            need_since
+            + IMPROVEMENT_DELAY_SECONDS
+            + IMPROVEMENT_JITTER_FACTOR * self.lease.jitter
         )
 
-    async def _take_turn(
+    async def _acquire_turn(
         self,
-        state: _State,
+        state: _PlanInput,
         now: float,
         need_since: float,
     ) -> bool:
@@ -220,23 +223,23 @@
         turns are close don't all work out the same repair.
         """
         if state.missing:
-            return await self.lease.secure(now, need_since)
+            return await self.lease.acquire(now, need_since)
         return self.lease.is_turn(now, need_since)
 
-    def _plan(self, state: _State, now: float) -> list[Move]:
+    def _plan(self, state: _PlanInput, now: float) -> list[Move]:
         """Plan the orders that are due now."""
         moves = [
             move
             for model, alive in state.pools
             for move in plan_moves(alive, model, thorough=state.thorough)
-            if move.replica.name not in state.ordered
+            if move.replica.name not in state.pending
         ]
         if state.thorough and moves and self.lease.held:
-            self._timing.note_layout(now)
+            self._timing.record_relayout(now)
         return moves
 
-    async def _give(self, moves: list[Move]) -> None:
-        results = await asyncio.gather(*map(self._book.give, moves))
+    async def _send_all(self, moves: list[Move]) -> None:
+        results = await asyncio.gather(*map(self._commands.send, moves))
         if OrderResult.FENCED in results:
             # Another node orders under a higher number; its turn counts anew.
             self._timing.need_since = self.clock.monotonic()
@@ -246,29 +249,29 @@
     """Add the service ``placement``."""
     startup = app.find('startup', RelayStartup)
     log = app.find('log', LineLog)
-    duty = PlacementDuty(
+    controller = PlacementDuty(
         log=log,
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        costs=app.find('costs', CostBook),
+        usage=app.find('costs', CostBook),
         lease=LeaseKeeper(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            spread=app.chance.uniform(0, TAKE_SPREAD_SECONDS),
+            base_jitter=app.chance.uniform(0, BASE_JITTER_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
-    app.hub.connect(ReplicasChanged, duty.wake)
-    app.hub.connect(NodesCounted, duty.share_among)
+    app.hub.connect(ReplicasChanged, controller.wake)
+    app.hub.connect(NodesCounted, controller.set_node_count)
     app.add(
         Service(
             'placement',
-            duty,
+            controller,
             ('configuration', 'replicas'),
-            start=duty.start,
-            stop=duty.stop,
+            start=controller.start,
+            stop=controller.stop,
         )
     )
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.fleet import Replica
 
-PERSISTENT_SECONDS = 2.5
+MIN_GAP_SECONDS = 2.5
 """How long a gap must last before its zone is laid out anew.
 
 Replicas that crash are mostly back within four seconds, and replaced ones
@@ -19,7 +19,7 @@
 second; a plan for the first few would have to be done again.
 """
 
-LAYOUT_REST_SECONDS = 12.0
+RELAYOUT_COOLDOWN_SECONDS = 12.0
 """How long a zone that was laid out anew is not laid out again.
 
 Replicas first finish what passes through the layers that they give up, up to
@@ -43,49 +43,55 @@
     gap_since: float | None = None
     _members: frozenset[str] = frozenset()
     _members_since: float = 0
-    _laid_out: float = float('-inf')
-    _grown: float = 0
-    _known: int = 0
+    _relayout_at: float = float('-inf')
+    _grown_at: float = 0
+    _listed_count: int = 0
 
-    def note_replicas(self, replicas: Collection[Replica], now: float) -> None:
+    def record_replicas(
+        self, replicas: Collection[Replica], now: float
+    ) -> None:
         """Note which replicas there are."""
-        members = frozenset(one.name for one in replicas if not one.leaving)
+        members = frozenset(
+            replica.name for replica in replicas if not replica.leaving
+        )
         if members != self._members:
             self._members = members
             self._members_since = now
-        if len(replicas) > self._known:
-            self._grown = now
-        self._known = len(replicas)
+        if len(replicas) > self._listed_count:
+            self._grown_at = now
+        self._listed_count = len(replicas)
 
-    def note_gap(self, now: float, *, missing: bool) -> None:
+    def record_gap(self, now: float, *, missing: bool) -> None:
         """Note whether layers are missing."""
-        self.gap_since = _date(self.gap_since, now, lasts=missing)
+        self.gap_since = _update_since(self.gap_since, now, lasts=missing)
 
-    def note_need(self, now: float, *, needed: bool) -> None:
+    def record_need(self, now: float, *, needed: bool) -> None:
         """Note whether orders are due."""
-        self.need_since = _date(self.need_since, now, lasts=needed)
+        self.need_since = _update_since(self.need_since, now, lasts=needed)
 
-    def note_layout(self, now: float) -> None:
+    def record_relayout(self, now: float) -> None:
         """Note that a zone was laid out anew."""
-        self._laid_out = now
+        self._relayout_at = now
 
     def is_settled(self, replicas: Collection[Replica], now: float) -> bool:
         """Whether the list of replicas has stopped growing."""
-        if any(one.layers for one in replicas):
+        if any(replica.layers for replica in replicas):
             return True
-        return bool(replicas) and now - self._grown > SETTLE_SECONDS
+        return bool(replicas) and now - self._grown_at > SETTLE_SECONDS
 
-    def may_lay_out(self, now: float) -> bool:
+    def may_relayout(self, now: float) -> bool:
         """Whether a gap has lasted, and replicas neither come nor go."""
         lasted = now - self.gap_since if self.gap_since else 0
         return (
-            lasted > PERSISTENT_SECONDS
+            lasted > MIN_GAP_SECONDS
             and now - self._members_since > STEADY_SECONDS
-            and now - self._laid_out > LAYOUT_REST_SECONDS
+            and now - self._relayout_at > RELAYOUT_COOLDOWN_SECONDS
         )
 
 
-def _date(since: float | None, now: float, *, lasts: bool) -> float | None:
+def _update_since(
+    since: float | None, now: float, *, lasts: bool
+) -> float | None:
     """Tell since when something lasts; nothing if it does not."""
     if not lasts:
         return None
--- a/packages/ryelatch-node/src/ryelatch_node/plain/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/__init__.py
@@ -1,4 +1,7 @@
-"""Plain services: calls that may be repeated, and calls that may not."""
+"""Calls to non-model services: forwarding, retries and idempotency keys.
+
+Calls that are not idempotent run at most once per idempotency key.
+"""
 
 from ryelatch_node.plain._claims import (
     Claim,
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
@@ -1,9 +1,9 @@
-"""Idempotency keys, claimed in the store before anything is sent.
+"""Idempotency keys, claimed in the store before a request is sent.
 
-Two requests with one key can enter at two nodes, as the balancer spreads
-retries. The store's create-if-absent lets one of them through. Nobody but
-the one whose mark is in the record ever sends, however late it wakes; so no
-lease is needed, and none can lapse.
+Two requests with the same key can arrive at two nodes, as the load balancer
+spreads retries. The store's create-if-absent lets only one of them claim the
+key. Only the node whose mark is in the record ever sends the request, no matter
+how long it was paused, so claims need no lease that could expire.
 """
 
 import asyncio
@@ -23,38 +23,39 @@
 from ryelatch_core.settings import Startup
 from ryelatch_node.store import Entry, Store, StoreError
 
-_TRIES = 3
-_MEND_SECONDS = 0.5
-_MEND_TRIES = 240
+_CLAIM_ATTEMPTS = 3
+_RETRY_SECONDS = 0.5
+_OUTCOME_ATTEMPTS = 240
 _WATCH_SECONDS = 2.0
 _SWEEP_SECONDS = 1.0
 
 
 class RecordState(enum.StrEnum):
-    """How far a claimed request has come."""
+    """State of the request that a key was claimed for."""
 
     CLAIMED = 'claimed'
-    """The node with the mark may have sent it."""
+    """The node that claimed the key may have sent the request."""
 
     RELEASED = 'released'
-    """It was not sent, for certain; the key is free again."""
+    """The request was certainly not sent; the key may be claimed again."""
 
     DONE = 'done'
-    """Its answer is in the record."""
+    """The answer of the request is in the record."""
 
     LOST = 'lost'
-    """It was sent, and its answer is lost."""
+    """The request was sent, and its answer is lost."""
 
 
 @dataclass(frozen=True)
 class Record:
-    """What the store holds of a key.
-
-    :param mark: unique to the claim, so that its owner knows it again.
-    :param fingerprint: hash of the request; another request may not use the
-        same key.
-    :param whole: the body is there, not too large to be kept.
-    :param until: epoch seconds after which it may be deleted.
+    """The stored record of an idempotency key.
+
+    :param mark: unique ID of the claim, by which its owner recognises it.
+    :param node: name of the node that made the claim.
+    :param fingerprint: hash of the request; a different request must not use
+        the same key.
+    :param until: epoch seconds after which the record may be deleted.
+    :param whole: whether the body was stored; it is left out if too large.
     """
 
     mark: str
@@ -70,7 +71,11 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A claim that this node holds."""
+    """A claim that this node holds.
+
+    :param key: name of the record in the store.
+    :param version: of the record in the store, for conditional writes.
+    """
 
     key: str
     record: Record
@@ -89,7 +94,10 @@
 
 
 class Claims:
-    """Claims keys and records what became of them."""
+    """Claims idempotency keys and records the outcomes of their requests.
+
+    :param node: name of this node.
+    """
 
     def __init__(self, app: App, store: Store, node: str) -> None:
         self._app = app
@@ -97,60 +105,70 @@
         self._node = node
         self._timeline = app.find('timeline', Timeline)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._old: deque[tuple[float, str, str]] = deque()
+        self._expiring: deque[tuple[float, str, str]] = deque()
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start deleting records past their time."""
+        """Start deleting expired records."""
         self._sweeper = asyncio.create_task(self._sweep())
 
     async def stop(self) -> None:
-        """Wait until every outcome is recorded, as far as the store lets."""
+        """Stop, after waiting a short time for pending writes to the store."""
         await cancel_task(self._sweeper)
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=_MEND_SECONDS * _TRIES)
+            await asyncio.wait(
+                self._tasks, timeout=_RETRY_SECONDS * _CLAIM_ATTEMPTS
+            )
 
     async def claim(
         self,
         key: str,
         fingerprint: str,
         keep: float,
-        patience: float,
+        timeout: float,
     ) -> Result[Claimed, ClaimError]:
-        """Claim a key, or find what became of the one who has it.
+        """Claim a key, or find the outcome of the request that claimed it.
 
+        :param key: name of the record in the store.
+        :param fingerprint: hash of the request.
         :param keep: seconds for which the record is kept.
-        :param patience: seconds to wait for another's answer.
-        :returns: a claim, with which the request may be sent once; or the
-            record of an answer given before.
+        :param timeout: seconds to wait for the outcome of a request in
+            progress with the same key.
+        :returns: a claim, with which the request may be sent once, or the
+            record with the answer to an earlier request.
         """
         until = self._app.clock.wall() + keep
-        mine = Record(uuid.uuid4().hex, self._node, fingerprint, until=until)
-        due = self._app.clock.monotonic() + patience
-        entry = await self._create(key, mine)
+        proposed = Record(
+            uuid.uuid4().hex, self._node, fingerprint, until=until
+        )
+        deadline = self._app.clock.monotonic() + timeout
+        entry = await self._create(key, proposed)
         if entry is None:
             self._timeline.record(catalogue.CLAIM_FAILED, key=key)
-            self._spawn(self._free(key, mine))
+            self._spawn(self._release_unconfirmed(key, proposed))
             return Err(ClaimError.STORE_OUT)
-        return await self._settle_found(key, mine, entry, due)
+        return await self._resolve_entry(key, proposed, entry, deadline)
 
     def settle(self, claim: Claim, record: Record) -> None:
-        """Record an outcome; go on trying in an outage of the store."""
-        self._spawn(self._write_end(claim, record))
+        """Record an outcome, and retry while the store is unavailable."""
+        self._spawn(self._write_outcome(claim, record))
 
     def release(self, claim: Claim) -> None:
-        """Free a key whose request was not sent, for certain."""
+        """Release a key whose request was certainly not sent."""
         self.settle(claim, replace(claim.record, state=RecordState.RELEASED))
 
-    async def _create(self, key: str, mine: Record) -> Entry | None:
-        """Create a record, or read the one that is there.
+    async def _create(self, key: str, proposed: Record) -> Entry | None:
+        """Create a record, or read the existing one.
 
-        A write without an answer that is not there may still land. It is
-        made again: whichever of the two lands first bears this mark, and the
-        other fails as the object exists.
+        A write that got no reply, and whose record is not found afterwards, may
+        still take effect later. So it is sent again: whichever of the two takes
+        effect first carries this claim's mark, and the other fails because the
+        record exists.
+
+        :returns: the entry in the store; nothing if the store is unavailable.
         """
-        body = _encode(mine)
-        for _ in range(_TRIES):
+        body = _encode(proposed)
+        for _ in range(_CLAIM_ATTEMPTS):
             written = await self._store.create(key, body)
             if written.is_ok():
                 return Entry(body, written.unwrap().version)
@@ -161,74 +179,81 @@
                 return None
         return None
 
-    def _hold(self, key: str, record: Record, version: str) -> Claim:
+    def _make_claim(self, key: str, record: Record, version: str) -> Claim:
         self._timeline.record(catalogue.CLAIM_MADE, key=key)
         return Claim(key, record, version)
 
-    async def _settle_found(
+    async def _resolve_entry(
         self,
         key: str,
-        mine: Record,
+        proposed: Record,
         entry: Entry,
-        due: float,
+        deadline: float,
     ) -> Result[Claimed, ClaimError]:
-        """Find out what a record means for this request."""
-        theirs = _decode(entry)
-        if theirs.mark == mine.mark:
-            return Ok(self._hold(key, mine, entry.version))
-        if theirs.fingerprint != mine.fingerprint:
+        """Decide from the record in the store how to handle a request."""
+        existing = _decode(entry)
+        if existing.mark == proposed.mark:
+            return Ok(self._make_claim(key, proposed, entry.version))
+        if existing.fingerprint != proposed.fingerprint:
             return Err(ClaimError.MISMATCH)
-        if theirs.state is RecordState.RELEASED:
-            return await self._take_over(key, mine, entry, due)
+        if existing.state is RecordState.RELEASED:
+            return await self._take_over(key, proposed, entry, deadline)
         self._timeline.record(
-            catalogue.CLAIM_FOUND, key=key, state=theirs.state
+            catalogue.CLAIM_FOUND, key=key, state=existing.state
         )
-        if theirs.state is RecordState.DONE:
-            return Ok(theirs)
-        if theirs.state is RecordState.LOST:
+        if existing.state is RecordState.DONE:
+            return Ok(existing)
+        if existing.state is RecordState.LOST:
             return Err(ClaimError.LOST)
-        changed = await self._wait_change(key, entry, due)
+        changed = await self._wait_change(key, entry, deadline)
         if changed is None:
             return Err(ClaimError.LOST)
-        return await self._settle_found(key, mine, changed, due)
+        return await self._resolve_entry(key, proposed, changed, deadline)
 
     async def _wait_change(
         self,
         key: str,
         entry: Entry,
-        due: float,
+        deadline: float,
     ) -> Entry | None:
-        """Wait for the outcome of the one who holds a claim."""
-        left = due - self._app.clock.monotonic()
-        while left > 0:
+        """Wait until the holder of a claim changes its record.
+
+        :returns: nothing if the deadline passes or the store is unavailable.
+        """
+        time_left = deadline - self._app.clock.monotonic()
+        while time_left > 0:
             watched = await self._store.watch(
-                key, entry.version, min(left, _WATCH_SECONDS)
+                key, entry.version, min(time_left, _WATCH_SECONDS)
             )
             if watched.is_ok():
                 return watched.unwrap()
             if watched.unwrap_err() is not StoreError.UNCHANGED:
                 return None
-            left = due - self._app.clock.monotonic()
+            time_left = deadline - self._app.clock.monotonic()
         return None
 
     async def _take_over(
         self,
         key: str,
-        mine: Record,
+        proposed: Record,
         entry: Entry,
-        due: float,
+        deadline: float,
     ) -> Result[Claimed, ClaimError]:
-        written = await self._store.update(key, _encode(mine), entry.version)
+        written = await self._store.update(
+            key, _encode(proposed), entry.version
+        )
         if written.is_ok():
-            return Ok(self._hold(key, mine, written.unwrap().version))
+            return Ok(self._make_claim(key, proposed, written.unwrap().version))
         found = await self._store.get(key)
         if found.is_ok() and found.unwrap().version != entry.version:
-            return await self._settle_found(key, mine, found.unwrap(), due)
-        self._spawn(self._free(key, mine))
+            return await self._resolve_entry(
+                key, proposed, found.unwrap(), deadline
+            )
+        self._spawn(self._release_unconfirmed(key, proposed))
         return Err(ClaimError.STORE_OUT)
 
-    async def _write_end(self, claim: Claim, record: Record) -> None:
-        for _ in range(_MEND_TRIES):
+    async def _write_outcome(self, claim: Claim, record: Record) -> None:
+        for _ in range(_OUTCOME_ATTEMPTS):
             written = await self._store.update(
                 claim.key, _encode(record), claim.version
             )
@@ -238,46 +263,48 @@
                 )
                 if written.is_ok():
                     version = written.unwrap().version
-                    self._old.append((record.until, claim.key, version))
+                    self._expiring.append((record.until, claim.key, version))
                 return
-            await asyncio.sleep(_MEND_SECONDS)
+            await asyncio.sleep(_RETRY_SECONDS)
         self._timeline.record(catalogue.CLAIM_FAILED, key=claim.key)
 
-    async def _free(self, key: str, mine: Record) -> None:
-        """Free a key that was perhaps claimed by a write without answer.
+    async def _release_unconfirmed(self, key: str, proposed: Record) -> None:
+        """Release a key that an unanswered write may have claimed.
 
-        The caller was told ``not-run``. Were the write to land later, the
-        caller's next try would wait for a request that nobody sends. Either
-        the object bears this mark and is set free, or it does not exist and
-        is created free, after which the lost write can't land any more.
+        The client was answered ``not-run``. If the write took effect later, the
+        client's next retry would wait for a request that no node sends. Either
+        the record exists with this claim's mark and is released, or it does not
+        exist and is created as released; after that the lost write can't take
+        effect any more.
         """
-        free = _encode(replace(mine, state=RecordState.RELEASED))
-        for _ in range(_MEND_TRIES):
-            created = await self._store.create(key, free)
+        released = _encode(replace(proposed, state=RecordState.RELEASED))
+        for _ in range(_OUTCOME_ATTEMPTS):
+            created = await self._store.create(key, released)
             if created.is_ok():
                 return
             found = await self._store.get(key)
             if found.is_ok():
                 entry = found.unwrap()
-                theirs = _decode(entry)
-                if theirs.mark != mine.mark:
+                existing = _decode(entry)
+                if existing.mark != proposed.mark:
                     return
-                if theirs.state is RecordState.RELEASED:
+                if existing.state is RecordState.RELEASED:
                     return
-                await self._store.update(key, free, entry.version)
+                await self._store.update(key, released, entry.version)
                 continue
-            await asyncio.sleep(_MEND_SECONDS)
+            await asyncio.sleep(_RETRY_SECONDS)
 
     async def _sweep(self) -> None:
-        """Delete what this node settled and nobody may ask for any more.
+        """Delete the records written by this node once they expire.
 
-        Records of a node that died stay; they cost the store room only.
+        Records of a node that crashed stay; they only take up space in the
+        store.
         """
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
             now = self._app.clock.wall()
-            while self._old and self._old[0][0] < now:
-                _, key, version = self._old.popleft()
+            while self._expiring and self._expiring[0][0] < now:
+                _, key, version = self._expiring.popleft()
                 await self._store.delete(key, version)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -287,15 +314,18 @@
 
 
 def name_claim(account: str, route: str, key: str) -> str:
-    """Give the store's key of an account's idempotency key on a route."""
+    """Build the store's key for a client's idempotency key.
+
+    The same idempotency key is distinct for each client account and route.
+    """
     text = '\0'.join((account, route, key))
     return f'claims/{hashlib.sha256(text.encode()).hexdigest()}'
 
 
 def fingerprint_call(method: str, path: str, body: bytes) -> str:
-    """Hash a request, to tell another one with the same key."""
-    head = f'{method} {path}\0'.encode()
-    return hashlib.sha256(head + body).hexdigest()
+    """Hash a request, to detect a different request with the same key."""
+    prefix = f'{method} {path}\0'.encode()
+    return hashlib.sha256(prefix + body).hexdigest()
 
 
 def _encode(record: Record) -> bytes:
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
@@ -1,4 +1,4 @@
-"""Calls to plain services over HTTP."""
+"""Forwards calls to non-model services over HTTP."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 from ryelatch_core.outcomes import Failure, Outcome
 from ryelatch_core.retries import RetryBudget
 from ryelatch_core.settings import Route
-from ryelatch_core.settings import Service as PlainService
+from ryelatch_core.settings import Service as NonModelService
 
-MAX_ANSWER = 8_388_608
-CONNECT_SECONDS = 0.5
-_TRIES = 3
+MAX_ANSWER_BYTES = 8_388_608
+CONNECT_TIMEOUT_SECONDS = 0.5
+_MAX_ATTEMPTS = 3
 
 _HOP_BY_HOP = frozenset(
     (
@@ -33,7 +33,7 @@
         'server',
     )
 )
-_OWN = frozenset(
+_REPLACED = frozenset(
     ('authorization', 'content-length', 'host', 'expect', 'accept-encoding')
 )
 
@@ -42,10 +42,11 @@
 
 @dataclass(frozen=True)
 class Call:
-    """A request for a plain service.
+    """A request for a non-model service.
 
-    :param path: with the query, as the upstream gets it.
-    :param idempotent: it may be sent again after a failure.
+    :param request: ID of the request.
+    :param path: path and query, as sent to the upstream.
+    :param idempotent: whether it may be sent again after a failure.
     """
 
     request: str
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """The whole answer of an upstream."""
+    """The complete answer of an upstream."""
 
     status: int
     headers: Headers
@@ -66,10 +67,10 @@
 
 
 @dataclass(frozen=True)
-class _Miss:
-    """A try that gave no answer.
+class _FailedAttempt:
+    """An attempt that got no complete answer.
 
-    :param sent: whether bytes of the request may have left.
+    :param sent: whether any bytes of the request may have been sent.
     """
 
     sent: bool
@@ -77,12 +78,13 @@
 
 
 class Forwarder:
-    """Sends calls to upstreams, each on a connection of its own.
+    """Sends calls to upstreams, each on a new connection.
 
-    A pooled connection that something between the ends lost track of takes
-    a request and never answers; the caller of a booking is then told
-    ``unknown``, though a new connection would have worked. A connection that
-    was just opened is proven, at the price of a round trip.
+    A middlebox can drop the state of a pooled connection: a request written to
+    it is never answered. The client of a call that is not idempotent, such as
+    a booking, then gets the outcome ``unknown``, although a new connection
+    would have worked. A new connection is known to work, at the cost of a round
+    trip.
     """
 
     def __init__(self) -> None:
@@ -90,7 +92,7 @@
         self._budget = RetryBudget()
 
     async def start(self) -> None:
-        """Open the session."""
+        """Open the HTTP session."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
             auto_decompress=False,
@@ -98,51 +100,54 @@
         )
 
     async def stop(self) -> None:
-        """Close the session."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
 
     async def forward(
         self,
         call: Call,
-        service: PlainService,
+        service: NonModelService,
         upstreams: list[Vm],
     ) -> Result[Answer, Failure]:
-        """Send a call, to another upstream after a failure if that is safe.
+        """Send a call, and retry it on other upstreams where that is safe.
 
-        :param upstreams: in the order in which they are tried.
+        :param upstreams: candidates, in the order in which they are tried.
         """
         sent = False
         self._budget.earn()
         deadline = asyncio.get_running_loop().time() + service.timeout
-        for upstream in upstreams[:_TRIES]:
-            left = deadline - asyncio.get_running_loop().time()
-            if left <= 0:
+        for upstream in upstreams[:_MAX_ATTEMPTS]:
+            time_left = deadline - asyncio.get_running_loop().time()
+            if time_left <= 0:
                 break
-            tried = await self._try_once(call, upstream, left)
-            if tried.is_ok():
-                return Ok(tried.unwrap())
-            sent = sent or tried.unwrap_err().sent
-            if sent and not self._may_repeat(call):
+            attempted = await self._attempt(call, upstream, time_left)
+            if attempted.is_ok():
+                return Ok(attempted.unwrap())
+            sent = sent or attempted.unwrap_err().sent
+            if sent and not self._may_retry(call):
                 break
-        return Err(_fail(sent=sent))
+        return Err(_make_failure(sent=sent))
 
-    def _may_repeat(self, call: Call) -> bool:
-        """Tell whether a call that may have run may be sent again.
+    def _may_retry(self, call: Call) -> bool:
+        """Return whether a call that may have run may be sent again.
 
-        A booking sent again could run twice: a second van to one clinic.
+        A call that is not idempotent, such as a booking, could run twice. Other
+        calls are limited by the retry budget.
         """
         return call.idempotent and self._budget.spend()
 
-    async def _try_once(
+    async def _attempt(
         self,
         call: Call,
         upstream: Vm,
-        patience: float,
-    ) -> Result[Answer, _Miss]:
+        time_left: float,
+    ) -> Result[Answer, _FailedAttempt]:
         if self._session is None:
-            return Err(_Miss(sent=False, reason='stopped'))
-        timeout = aiohttp.ClientTimeout(patience, sock_connect=CONNECT_SECONDS)
+            return Err(_FailedAttempt(sent=False, reason='stopped'))
+        timeout = aiohttp.ClientTimeout(
+            time_left, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
         try:
             async with self._session.request(
                 call.method,
@@ -152,30 +157,31 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as response:
-                body = await _read_whole(response)
+                body = await _read_body(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            return Err(_Miss(sent=False, reason='no connection'))
+            return Err(_FailedAttempt(sent=False, reason='no connection'))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Err(_Miss(sent=True, reason=type(error).__name__))
+            return Err(_FailedAttempt(sent=True, reason=type(error).__name__))
         headers = clean_headers(response.headers.items())
         return Ok(Answer(response.status, headers, body))
 
 
-async def _read_whole(response: aiohttp.ClientResponse) -> bytes:
+async def _read_body(response: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > MAX_ANSWER:
-            raise aiohttp.ClientPayloadError(f'over {MAX_ANSWER} bytes')
+        if len(body) > MAX_ANSWER_BYTES:
+            raise aiohttp.ClientPayloadError(f'over {MAX_ANSWER_BYTES} bytes')
     return bytes(body)
 
 
 def clean_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Take out what belongs to one connection only, or to the router.
+    """Remove hop-by-hop headers and the headers that the router sets.
 
-    A caller's ``Transfer-Encoding`` or ``Connection`` passed on could make
-    the upstream see two requests where the router saw one; the second would
-    run under no client account. Lengths are set anew by the library.
+    A client's ``Transfer-Encoding`` or ``Connection`` header, if forwarded,
+    could make the upstream parse two requests where the router saw one (request
+    smuggling); the second would run under no client account. The HTTP library
+    sets the length anew.
     """
     pairs = [(name.lower(), text) for name, text in headers]
     named = {
@@ -184,7 +190,7 @@
         if name == 'connection'
         for token in text.split(',')
     }
-    dropped = _HOP_BY_HOP | _OWN | named
+    dropped = _HOP_BY_HOP | _REPLACED | named
     return tuple(
         (name, text)
         for name, text in pairs
@@ -193,11 +199,11 @@
 
 
 def may_repeat(route: Route, method: str) -> bool:
-    """Tell whether a method may be sent again on a route."""
+    """Return whether requests with a method are idempotent on a route."""
     return method in route.idempotent
 
 
-def _fail(*, sent: bool) -> Failure:
+def _make_failure(*, sent: bool) -> Failure:
     if sent:
         return Failure(
             HTTPStatus.GATEWAY_TIMEOUT,
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -16,11 +16,11 @@
 IDLE_SECONDS = 5.0
 """The same while this node has nothing to tell; only what lapses is found."""
 
-MOST_STEPS = 20
+MAX_WRITES = 20
 """Writes in a row; in the loss of a whole group others have their turn."""
 
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 1.6
+_FIRST_RETRY_SECONDS = 0.1
+_MAX_RETRY_SECONDS = 1.6
 
 
 @dataclass(eq=False)
@@ -30,16 +30,16 @@
     Each attempt of a client may come to another node. So what each node sees
     is kept in the store, where all follow it, a node that starts included.
 
-    :param book: what is known.
+    :param tracker: what is known.
     """
 
     log: LineLog
     clock: Clock
     store: QuarantineStore
-    book: Book
+    tracker: Book
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
-    _told: frozenset[str] = frozenset()
+    _logged: frozenset[str] = frozenset()
 
     async def start(self) -> None:
         """Begin to tell the store."""
@@ -53,77 +53,77 @@
 
     def find_refused(self, digest: str) -> Case | None:
         """Find why a request is refused; nothing if it isn't."""
-        return self.book.find_refused(digest)
+        return self.tracker.find_refused(digest)
 
     def is_suspect(self, digest: str) -> bool:
         """Whether a replica has ended under a request that may be why."""
-        return self.book.is_suspect(digest, self.clock.monotonic())
+        return self.tracker.is_suspect(digest, self.clock.monotonic())
 
     def count_refused(self) -> int:
         """Count the requests that are refused."""
-        return len(self._told)
+        return len(self._logged)
 
     def count_suspects(self) -> int:
         """Count the requests under which replicas ended, refused or not."""
-        return len(self.book)
+        return len(self.tracker)
 
     def note_end(
         self,
         digest: str,
-        life: str,
-        manner: Manner,
+        incarnation: str,
+        phase: Manner,
         request: str,
     ) -> None:
         """Note that a replica has ended under a request.
 
-        :param life: name of the replica's life.
+        :param incarnation: name of the replica's life.
         :param request: identity of the attempt, for the line.
         """
         now = self.clock.monotonic()
-        if self.book.note_end(digest, life, manner, now):
+        if self.tracker.note_end(digest, incarnation, phase, now):
             self.log.record(
                 catalogue.REQUEST_SUSPECTED,
                 request=request,
                 digest=digest,
-                replica=life,
-                manner=manner.value,
+                replica=incarnation,
+                manner=phase.value,
             )
-            self._tell()
+            self._on_change()
 
     def note_run(self, digest: str) -> None:
         """Note that a request has run and its replica is still there."""
-        if self.book.note_run(digest, self.clock.monotonic()):
-            self._tell()
+        if self.tracker.note_run(digest, self.clock.monotonic()):
+            self._on_change()
 
     def put(self, stored: StoredCase) -> None:
         """Take what the store holds of a request."""
-        self.book.put(stored, self.clock.monotonic())
-        self._tell()
+        self.tracker.put(stored, self.clock.monotonic())
+        self._on_change()
 
     def remove(self, digest: str) -> None:
         """Take note that a request is let in again."""
-        self.book.remove(digest, self.clock.monotonic())
-        self._tell()
+        self.tracker.remove(digest, self.clock.monotonic())
+        self._on_change()
 
     def replace(self, listed: Iterable[StoredCase]) -> None:
         """Take all that the store holds."""
-        self.book.replace(listed, self.clock.monotonic())
-        self._tell()
+        self.tracker.replace(listed, self.clock.monotonic())
+        self._on_change()
 
     def judge(self) -> None:
         """Decide anew what is refused, as time has passed."""
-        self.book.judge(self.clock.monotonic())
-        self._record()
+        self.tracker.judge(self.clock.monotonic())
+        self._log_changes()
 
-    def _tell(self) -> None:
+    def _on_change(self) -> None:
         """Record what has changed, and look for what the store is to know."""
-        self._record()
+        self._log_changes()
         self._changed.set()
 
-    def _record(self) -> None:
+    def _log_changes(self) -> None:
         """Record which requests are refused from now on, and which no more."""
-        refused = self.book.refused
-        for digest in refused.keys() - self._told:
+        refused = self.tracker.refused
+        for digest in refused.keys() - self._logged:
             case = refused[digest]
             self.log.record(
                 catalogue.REQUEST_QUARANTINED,
@@ -131,30 +131,30 @@
                 begun=sorted(case.begun),
                 waiting=sorted(case.waiting),
             )
-        for digest in self._told - refused.keys():
+        for digest in self._logged - refused.keys():
             self.log.record(catalogue.REQUEST_RELEASED, digest=digest)
-        self._told = frozenset(refused)
+        self._logged = frozenset(refused)
 
     async def _run(self) -> None:
-        pause = _FIRST_PAUSE
+        pause = _FIRST_RETRY_SECONDS
         while True:
-            steps = self.book.list_due(self.clock.monotonic())
-            if await self._carry_out(steps[:MOST_STEPS]):
-                pause = _FIRST_PAUSE
+            writes = self.tracker.list_due(self.clock.monotonic())
+            if await self._perform(writes[:MAX_WRITES]):
+                pause = _FIRST_RETRY_SECONDS
                 await self._wait()
             else:
                 # The store is out. Nothing is lost: it is told when it is
                 # back, and this node itself knows already.
                 await asyncio.sleep(pause)
-                pause = min(_LONGEST_PAUSE, pause * 2)
+                pause = min(_MAX_RETRY_SECONDS, pause * 2)
 
-    async def _carry_out(self, steps: list[Step]) -> bool:
-        for step in steps:
-            found = await self.store.carry_out(step)
+    async def _perform(self, writes: list[Step]) -> bool:
+        for write in writes:
+            found = await self.store.carry_out(write)
             if not found.answered:
                 return False
             if found.stored is None:
-                self.remove(step.digest)
+                self.remove(write.digest)
             else:
                 self.put(found.stored)
         return True
@@ -162,7 +162,7 @@
     async def _wait(self) -> None:
         """Wait for something to tell, without a look at each of its changes."""
         await asyncio.sleep(TICK_SECONDS)
-        if self.book.has_news(self.clock.monotonic()):
+        if self.tracker.has_news(self.clock.monotonic()):
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(IDLE_SECONDS):
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -21,43 +21,47 @@
     limits: LimitBook = field(default_factory=LimitBook)
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
-    def hear(self, name: str, heard: Heard) -> bool:
+    def hear(self, name: str, reported: Heard) -> bool:
         """Take what a replica said, from whomever.
 
         :returns: whether it has a limit now and had none, or the reverse.
         """
-        if not self.limits.hear(name, heard):
+        if not self.limits.hear(name, reported):
             return False
-        if heard.limit is None:
+        if reported.limit is None:
             self.log.record(catalogue.REPLICA_UNLIMITED, replica=name)
         else:
             self.log.record(
-                catalogue.REPLICA_LIMITED, replica=name, limit=heard.limit
+                catalogue.REPLICA_LIMITED, replica=name, limit=reported.limit
             )
         return True
 
-    def answer(self, question: PermitQuestion) -> PermitReply:
+    def handle_request(self, request: PermitQuestion) -> PermitReply:
         """Grant a permit to a node that asks, if there is one."""
-        name, now = question.replica, self.clock.monotonic()
-        self.hear(name, Heard(question.limit, now - question.age))
-        heard = self.limits.find(name)
-        if heard is None or heard.limit is None:
+        name, now = request.replica, self.clock.monotonic()
+        self.hear(name, Heard(request.limit, now - request.age))
+        reported = self.limits.find(name)
+        if reported is None or reported.limit is None:
             self._buckets.pop(name, None)
-            age = question.age if heard is None else max(0, now - heard.at)
+            age = request.age if reported is None else max(0, now - reported.at)
             return PermitReply(True, 0, None, age)
-        bucket = self._buckets.setdefault(name, TokenBucket(heard.limit, now))
-        bucket.resize(heard.limit, now)
-        granted = question.limit is not None and bucket.take(now)
+        bucket = self._buckets.setdefault(
+            name, TokenBucket(reported.limit, now)
+        )
+        bucket.resize(reported.limit, now)
+        granted = request.limit is not None and bucket.take(now)
         wait = bucket.find_wait(now)
-        return PermitReply(granted, wait, heard.limit, max(0, now - heard.at))
+        return PermitReply(
+            granted, wait, reported.limit, max(0, now - reported.at)
+        )
 
-    def make_question(self, name: str) -> PermitQuestion:
+    def make_request(self, name: str) -> PermitQuestion:
         """Ask for a permit, with what this node knows of the limit."""
-        heard = self.limits.find(name)
+        reported = self.limits.find(name)
         now = self.clock.monotonic()
-        if heard is None:
+        if reported is None:
             return PermitQuestion(name, None, 0)
-        return PermitQuestion(name, heard.limit, max(0, now - heard.at))
+        return PermitQuestion(name, reported.limit, max(0, now - reported.at))
 
     def forget_idle(self) -> None:
         """Forget the permits that nobody asks for any more.
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -18,26 +18,26 @@
     open_line,
 )
 
-ASK_SECONDS = 0.1
+PERMIT_TIMEOUT_SECONDS = 0.1
 """Longest wait for a permit; a request waits for it, and has other replicas."""
 
-REST_SECONDS = 2.0
+COOLDOWN_SECONDS = 2.0
 """How long a node that did not answer is not asked again."""
 
-LONGEST_REST = 64.0
+MAX_COOLDOWN_SECONDS = 64.0
 """The same at most, as it doubles each time; a VM may be gone for good."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Left:
+class _Cooldown:
     """That a node left questions unanswered.
 
     :param until: when it is asked again, in monotonic seconds.
-    :param rest: seconds for which it was left.
+    :param seconds: seconds for which it was left.
     """
 
     until: float
-    rest: float
+    seconds: float
 
 
 @dataclass(eq=False)
@@ -47,26 +47,26 @@
     log: LineLog
     clock: Clock
     news: News
-    _lines: dict[str, Line] = field(default_factory=dict)
+    _connections: dict[str, Line] = field(default_factory=dict)
     _locks: dict[str, asyncio.Lock] = field(
         default_factory=lambda: defaultdict(asyncio.Lock)
     )
-    _left: dict[str, _Left] = field(default_factory=dict)
+    _cooldowns: dict[str, _Cooldown] = field(default_factory=dict)
 
     def stop(self) -> None:
         """Close all connections."""
-        for address in tuple(self._lines):
+        for address in tuple(self._connections):
             self._drop(address)
 
-    def rests(self, limiter: NodeEntry) -> bool:
+    def is_cooling_down(self, limiter: NodeEntry) -> bool:
         """Whether a node left a question unanswered a short while ago."""
-        left = self._left.get(limiter.address)
-        return left is not None and self.clock.monotonic() < left.until
+        cooldown = self._cooldowns.get(limiter.address)
+        return cooldown is not None and self.clock.monotonic() < cooldown.until
 
     async def ask(
         self,
         limiter: NodeEntry,
-        question: PermitQuestion,
+        request: PermitQuestion,
     ) -> PermitReply | None:
         """Ask a node for a permit.
 
@@ -74,12 +74,12 @@
         """
         async with self._locks[limiter.address]:
             # Those before may have found out that it does not answer.
-            if self.rests(limiter):
+            if self.is_cooling_down(limiter):
                 return None
             try:
-                return await self._exchange(limiter.address, question)
+                return await self._exchange(limiter.address, request)
             except FAILURES as error:
-                self._leave(limiter, type(error).__name__)
+                self._begin_cooldown(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
                 # A reply still to come would answer the next question.
@@ -89,32 +89,35 @@
     async def _exchange(
         self,
         address: str,
-        question: PermitQuestion,
+        request: PermitQuestion,
     ) -> PermitReply:
-        async with asyncio.timeout(ASK_SECONDS):
-            line = self._lines.get(address)
-            if line is None:
-                line = await open_line(self.news.dial, address)
-                self._lines[address] = line
-            body = await line.ask(question)
+        async with asyncio.timeout(PERMIT_TIMEOUT_SECONDS):
+            connection = self._connections.get(address)
+            if connection is None:
+                connection = await open_line(self.news.dial, address)
+                self._connections[address] = connection
+            body = await connection.ask(request)
         reply = msgspec.msgpack.decode(body, type=PermitReply)
-        self._left.pop(address, None)
+        self._cooldowns.pop(address, None)
         return reply
 
-    def _leave(self, limiter: NodeEntry, reason: str) -> None:
+    def _begin_cooldown(self, limiter: NodeEntry, reason: str) -> None:
         self._drop(limiter.address)
-        left = self._left.get(limiter.address)
-        rest = min(LONGEST_REST, left.rest * 2 if left else REST_SECONDS)
-        until = self.clock.monotonic() + rest
-        self._left[limiter.address] = _Left(until, rest)
+        cooldown = self._cooldowns.get(limiter.address)
+        seconds = min(
+            MAX_COOLDOWN_SECONDS,
+            cooldown.seconds * 2 if cooldown else COOLDOWN_SECONDS,
+        )
+        until = self.clock.monotonic() + seconds
+        self._cooldowns[limiter.address] = _Cooldown(until, seconds)
         self.log.record(
             catalogue.LIMITER_LEFT,
             peer=limiter.name,
             reason=reason,
-            seconds=rest,
+            seconds=seconds,
         )
 
     def _drop(self, address: str) -> None:
-        line = self._lines.pop(address, None)
-        if line is not None:
-            line.drop()
+        connection = self._connections.pop(address, None)
+        if connection is not None:
+            connection.drop()
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -16,19 +16,19 @@
 from ryelatch_node.throttle._limiter import Limiter
 from ryelatch_node.throttle._lines import PermitLines
 
-MOST_ASKED = 2
+MAX_LIMITERS_ASKED = 2
 """Nodes that are asked for a permit at most, one after the other."""
 
-MOST_LIMITERS = 6
+MAX_LIMITERS = 6
 """Nodes that may grant the permits of a replica, if those before are gone.
 
 VMs that were removed for good stay in the list of nodes.
 """
 
-LEAST_WAIT = 0.05
+MIN_WAIT_SECONDS = 0.05
 """Seconds for which a replica is left at least where there is no permit."""
 
-LONGEST_WAIT = 1.0
+MAX_WAIT_SECONDS = 1.0
 """The same at most: another node may have left permits meanwhile."""
 
 
@@ -49,11 +49,11 @@
     clock: Clock
     startup: RelayStartup
     news: News
-    lines: PermitLines
-    costs: CostBook = field(default_factory=CostBook)
+    permit_client: PermitLines
+    usage: CostBook = field(default_factory=CostBook)
     limiter: Limiter = field(init=False)
     _backoffs: BackoffBook = field(default_factory=BackoffBook)
-    _closed: dict[str, float] = field(default_factory=dict)
+    _denied_until: dict[str, float] = field(default_factory=dict)
     _ranked: dict[str, list[NodeEntry]] = field(default_factory=dict)
     _ranked_nodes: tuple[NodeEntry, ...] = ()
     _tasks: Tasks = field(init=False)
@@ -62,12 +62,12 @@
         """Make what tells others, and answer them."""
         self._tasks = Tasks(self.log, 'throttle')
         self.limiter = Limiter(self.log, self.clock)
-        self.news.server.answer_permit = self.limiter.answer
+        self.news.server.answer_permit = self.limiter.handle_request
 
     async def stop(self) -> None:
         """Ask and tell nothing more."""
         await self._tasks.stop()
-        self.lines.stop()
+        self.permit_client.stop()
 
     def note_answer(self, replica: Replica, terms: AnswerTerms) -> None:
         """Take what an answer says of the replica that gave it."""
@@ -79,10 +79,10 @@
         if terms.limit is None and not terms.signed:
             # A refusal or a spoiled answer need not say all that holds.
             return
-        heard = Heard(terms.limit, self.clock.monotonic())
-        changed = self.limiter.hear(name, heard)
+        reported = Heard(terms.limit, self.clock.monotonic())
+        changed = self.limiter.hear(name, reported)
         if changed and terms.limit is None:
-            self._tasks.spawn(self._tell_free(name))
+            self._tasks.spawn(self._announce_unlimited(name))
 
     def is_throttled(self, name: str) -> bool:
         """Whether a replica said that it takes little, or nothing now."""
@@ -98,7 +98,7 @@
         waits = (
             max(
                 self._backoffs.find_left(name, now),
-                self._closed.get(name, now) - now,
+                self._denied_until.get(name, now) - now,
             )
             for name in names
         )
@@ -118,10 +118,12 @@
         They want none, or there was no permit a moment ago.
         """
         now = self.clock.monotonic()
-        self._closed = {
-            name: until for name, until in self._closed.items() if until > now
+        self._denied_until = {
+            name: until
+            for name, until in self._denied_until.items()
+            if until > now
         }
-        return frozenset(self._closed) | self._backoffs.list_names(now)
+        return frozenset(self._denied_until) | self._backoffs.list_names(now)
 
     async def take(self, replica: Replica) -> bool:
         """Take leave to send one request to a replica.
@@ -133,13 +135,13 @@
             return False
         if not self.is_limited(name):
             return True
-        reply = await self._seek(name)
+        reply = await self._request_permit(name)
         outcome = 'granted' if reply.granted else 'denied'
-        self.costs.count('permits', outcome)
+        self.usage.count('permits', outcome)
         now = self.clock.monotonic()
         if not reply.granted:
-            wait = min(LONGEST_WAIT, max(LEAST_WAIT, reply.wait))
-            self._closed[name] = now + wait
+            wait = min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, reply.wait))
+            self._denied_until[name] = now + wait
         # It may have turned this node away while the permit was on its way.
         return reply.granted and not self._backoffs.find_left(name, now)
 
@@ -159,20 +161,20 @@
                 catalogue.REPLICA_BACKOFF, replica=name, seconds=seconds
             )
 
-    async def _seek(self, name: str) -> PermitReply:
+    async def _request_permit(self, name: str) -> PermitReply:
         """Ask the nodes that grant the permits of a replica, in their order."""
         if not self.news.nodes:
             # Just started, and no list of the nodes has come yet.
-            return self.limiter.answer(self.limiter.make_question(name))
+            return self.limiter.handle_request(self.limiter.make_request(name))
         reachable = itertools.filterfalse(
-            self.lines.rests, self._list_limiters(name)
+            self.permit_client.is_cooling_down, self._list_limiters(name)
         )
-        for limiter in tuple(reachable)[:MOST_ASKED]:
-            reply = await self._ask(limiter, name)
+        for limiter in tuple(reachable)[:MAX_LIMITERS_ASKED]:
+            reply = await self._ask_limiter(limiter, name)
             if reply is not None:
                 return reply
-        self.costs.count('permits', 'unanswered')
-        return PermitReply(False, LONGEST_WAIT, None, 0)
+        self.usage.count('permits', 'unanswered')
+        return PermitReply(False, MAX_WAIT_SECONDS, None, 0)
 
     def _list_limiters(self, name: str) -> list[NodeEntry]:
         """List the nodes to ask; ranking a large fleet takes a millisecond."""
@@ -181,23 +183,25 @@
             self._ranked.clear()
         if name not in self._ranked:
             ranked = rank_limiters(name, self._ranked_nodes)
-            self._ranked[name] = ranked[:MOST_LIMITERS]
+            self._ranked[name] = ranked[:MAX_LIMITERS]
         return self._ranked[name]
 
-    async def _ask(self, limiter: NodeEntry, name: str) -> PermitReply | None:
-        question = self.limiter.make_question(name)
+    async def _ask_limiter(
+        self, limiter: NodeEntry, name: str
+    ) -> PermitReply | None:
+        request = self.limiter.make_request(name)
         if limiter.name == self.startup.name:
-            return self.limiter.answer(question)
+            return self.limiter.handle_request(request)
         asked = self.clock.monotonic()
-        reply = await self.lines.ask(limiter, question)
+        reply = await self.permit_client.ask(limiter, request)
         if reply is not None:
             self.limiter.hear(name, Heard(reply.limit, asked - reply.age))
         return reply
 
-    async def _tell_free(self, name: str) -> None:
+    async def _announce_unlimited(self, name: str) -> None:
         """Tell the node that grants permits that a limit is over."""
         for limiter in self._list_limiters(name)[:1]:
-            await self._ask(limiter, name)
+            await self._ask_limiter(limiter, name)
 
 
 def setup(app: App) -> None:
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/duty/test_placement.py
@@ -114,8 +114,8 @@
     """
     platform = FakePlatform()
     async with run_nodes(platform, 1):
-        duty = platform.duties[0]
-        await wait_until(lambda: duty.lease.holder)
+        controller = platform.duties[0]
+        await wait_until(lambda: controller.lease.holder)
         write = platform.write
 
         async def write_and_lose(
@@ -123,10 +123,10 @@
         ) -> LeaseRecord | None:
             written = await write(lease, revision)
             other = LeaseRecord(Lease('other', 9), revision + 2, revision + 1)
-            asyncio.get_running_loop().call_soon(duty.lease.follow, other)
+            asyncio.get_running_loop().call_soon(controller.lease.follow, other)
             return written
 
-        duty.lease.store = LeaseStore(write_and_lose)
+        controller.lease.store = LeaseStore(write_and_lose)
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 4)),
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/duty/test_turns.py
@@ -9,8 +9,8 @@
 from ryelatch_core.fleet import LayerRange
 from ryelatch_core.membership import Lease
 from ryelatch_node.duty._lease import (
-    LONGEST_SPREAD_SECONDS,
-    TAKE_SPREAD_SECONDS,
+    BASE_JITTER_SECONDS,
+    MAX_JITTER_SECONDS,
 )
 from ryelatch_node.ports import (
     LeaseRecord,
@@ -76,11 +76,11 @@
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 1):
-        platform.duties[0].lease.spread = 0
+        platform.duties[0].lease.base_jitter = 0
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 8)),
-                *(make_replica(f'm-{one}', None) for one in (1, 2, 3)),
+                *(make_replica(f'm-{number}', None) for number in (1, 2, 3)),
             ]
         )
         await wait_until(lambda: platform.orders, 8)
@@ -94,11 +94,13 @@
     as many nodes plan the same repair.
     """
     platform = FakePlatform()
-    draws = [one / 200 for one in range(200)]
-    for draw in draws:
-        duty = platform.add_node(f'node-{draw}', TAKE_SPREAD_SECONDS * draw)
-        duty.lease.nodes = len(draws)
-    waits = [duty.lease.patience for duty in platform.duties]
-    early = [wait for wait in waits if wait < TAKE_SPREAD_SECONDS / 6]
+    samples = [number / 200 for number in range(200)]
+    for sample in samples:
+        controller = platform.add_node(
+            f'node-{sample}', BASE_JITTER_SECONDS * sample
+        )
+        controller.lease.nodes = len(samples)
+    waits = [controller.lease.jitter for controller in platform.duties]
+    early = [wait for wait in waits if wait < BASE_JITTER_SECONDS / 6]
     assert len(early) <= 4
-    assert max(waits) <= LONGEST_SPREAD_SECONDS
+    assert max(waits) <= MAX_JITTER_SECONDS
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -9,7 +9,7 @@
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import rank_limiters
 from ryelatch_node.news import PermitQuestion
-from ryelatch_node.throttle._lines import ASK_SECONDS
+from ryelatch_node.throttle._lines import PERMIT_TIMEOUT_SECONDS
 from virtual.loop import run
 from virtual.throttles import REPLICA, ThrottledFleet, make_terms
 
@@ -89,7 +89,7 @@
         await fleet.press(names, 6, gap=0.005)
         fleet.dark.add(first)
         for throttle in fleet.nodes.values():
-            throttle.lines.stop()
+            throttle.permit_client.stop()
         lost = _now()
         await fleet.press(living, 10, gap=0.005)
         assert fleet.count_most(0, _SPAN) <= _allow(4.2)
@@ -110,13 +110,13 @@
         await _tell_all(fleet)
         ranked = _rank(names)
         fleet.dark.update(ranked[:2])
-        asker = fleet.nodes[ranked[5]]
+        node = fleet.nodes[ranked[5]]
         began = _now()
-        assert not await asker.take(REPLICA)
-        assert _now() - began <= 2 * ASK_SECONDS + 0.01
+        assert not await node.take(REPLICA)
+        assert _now() - began <= 2 * PERMIT_TIMEOUT_SECONDS + 0.01
         began = _now()
-        assert await asker.take(REPLICA)
-        assert _now() - began < ASK_SECONDS / 2
+        assert await node.take(REPLICA)
+        assert _now() - began < PERMIT_TIMEOUT_SECONDS / 2
         await fleet.stop()
 
     run(main())
@@ -156,7 +156,9 @@
         await asyncio.sleep(1)
         limiter.note_answer(REPLICA, make_terms(None))
         await asyncio.sleep(1)
-        reply = limiter.limiter.answer(PermitQuestion(REPLICA.name, 4.2, 1.5))
+        reply = limiter.limiter.handle_request(
+            PermitQuestion(REPLICA.name, 4.2, 1.5)
+        )
         assert reply.granted
         assert reply.limit is None
         assert not limiter.is_limited(REPLICA.name)
@@ -172,8 +174,8 @@
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.nan, 0))
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.inf, 0))
+        node.limiter.handle_request(PermitQuestion(REPLICA.name, math.nan, 0))
+        node.limiter.handle_request(PermitQuestion(REPLICA.name, math.inf, 0))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
@@ -244,9 +246,9 @@
         names = _name_nodes(8)
         fleet.start(names)
         await _tell_all(fleet)
-        asker = fleet.nodes[_rank(names)[3]]
+        node = fleet.nodes[_rank(names)[3]]
         granted = await asyncio.gather(
-            *(asker.take(REPLICA) for _ in range(100))
+            *(node.take(REPLICA) for _ in range(100))
         )
         assert 1 <= sum(granted) <= 4
         assert not any(line['name'] == 'limiter-left' for line in fleet.lines)
