--- a/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
@@ -1,4 +1,4 @@
-"""Work that one node does at a time: which replica holds which layers."""
+"""Layer placement, which one node controls at a time under a lease."""
 
 from ryelatch_node.duty._lease import LeaseKeeper
 from ryelatch_node.duty._service import PlacementDuty, setup
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
@@ -1,4 +1,4 @@
-"""Holds the lease on a duty, and tells when it may be taken."""
+"""The placement lease: when this node may take it, and its renewal."""
 
 from dataclasses import dataclass
 
@@ -8,60 +8,62 @@
 from ryelatch_node.ports import LeaseRecord, LeaseStore
 
 TAKEOVER_SECONDS = 0.6
-"""How long others leave a gap to a holder of the lease who does nothing.
+"""Time after which other nodes take the lease if its holder does not act.
 
-It acts within a few ms of knowing of a loss, and all know of it within half
-a second of each other.
+A holder acts within a few ms of learning that layers are lost, and all nodes
+learn of it within half a second of each other.
 """
 
 RENEWED_TAKEOVER_SECONDS = 6.0
-"""How long others leave a gap to a holder who has just renewed its lease.
+"""Time after a renewal during which other nodes do not take the lease.
 
-It renews before it orders. Thirty layers load in 5.3 s, and what it ordered
-goes on loading should it be lost meanwhile.
+The holder renews the lease before it sends commands. Thirty layers load in
+5.3 s, and loads in progress continue even if the holder is lost.
 """
 
 BASE_JITTER_SECONDS = 0.6
-"""Spread of that time over a small fleet, so that most see another's claim
-first."""
+"""Range of the takeover jitter in a small fleet.
+
+It lets most nodes receive another node's claim before they make their own.
+"""
 
 BASE_JITTER_NODES = 8
-"""Nodes of such a fleet; in a larger one the spread is longer in proportion.
+"""Fleet size above which the takeover jitter grows with the number of nodes.
 
-With one spread for all sizes, all of two hundred nodes would plan the same
-loss within half a second; so it is a dozen a second at any size.
+With the same range for all sizes, two hundred nodes would plan the same repair
+within half a second; scaled, about a dozen per second do at any size.
 """
 
 MAX_JITTER_SECONDS = 6.0
-"""Longest such spread: no longer than a holder at work is left alone.
+"""Upper bound of the takeover jitter, equal to the delay after a renewal.
 
-It bounds how late a lost holder is followed where few nodes of a large fleet
-are left.
+It bounds how late a lost holder is replaced when only a few nodes of a large
+fleet are left.
 """
 
 RENEWAL_SECONDS = 2.0
-"""How often the lease is renewed while there is something to do."""
+"""Interval of lease renewals while there is work to do."""
 
 HOLDER_LEAD_SECONDS = 2.0
-"""How much sooner than this node the holder may have known of a need.
+"""How much earlier than this node the holder may have seen a need for work.
 
-Changes of the registry are gathered for up to 0.8 s, and a watch may hear
-nothing for a second. A renewal that this node heard of before the need
-itself was still made for it.
+Changes of the registry are batched for up to 0.8 s, and a watch may receive
+nothing for a second. So a renewal that this node received shortly before it saw
+the need may have been made for the same need.
 """
 
 CLAIM_COOLDOWN_SECONDS = 1.0
-"""How long no claim is made after one that failed; calls are priced."""
+"""Time without another claim after a failed one; calls have a cost."""
 
 
 @dataclass(eq=False)
 class LeaseKeeper:
-    """The lease as this node knows it.
+    """Takes and renews the placement lease, from this node's view of it.
 
-    :param base_jitter: seconds by which this node is more patient than others,
-        in a small fleet.
-    :param holder: name of this life of the process.
-    :param nodes: that may take the lease.
+    :param base_jitter: additional seconds that this node waits before it takes
+        the lease in a small fleet; nodes differ in it.
+    :param holder: unique name of this process, as written to the lease.
+    :param nodes: number of nodes that may take the lease.
     """
 
     log: LineLog
@@ -78,39 +80,40 @@
 
     @property
     def held(self) -> bool:
-        """Whether this node holds it, as far as it knows."""
+        """Whether this node holds the lease according to its view."""
         return self.fence is not None
 
     @property
     def fence(self) -> int | None:
-        """The fencing number of this node; nothing if it is not the holder."""
+        """Fencing number of this node; nothing if it is not the holder."""
         lease = self._record.lease if self._record else None
         if lease is None or lease.holder != self.holder or self._fenced:
             return None
         return lease.fence
 
     def follow(self, record: LeaseRecord) -> None:
-        """Take note of the lease as the store has it now."""
+        """Apply a lease record read from the store, unless it is outdated."""
         if self._record is None or record.revision > self._record.revision:
             if self._record is not None:
                 self._record_since = self.clock.monotonic()
             self._record = record
 
     def mark_fenced(self) -> None:
-        """Take note that another node has used a higher fencing number."""
+        """Record that another node has used a higher fencing number."""
         self._fenced = True
 
     @property
     def jitter(self) -> float:
-        """Seconds by which this node is more patient than others."""
+        """Additional seconds that this node waits before it takes the lease."""
         factor = max(1, self.nodes / BASE_JITTER_NODES)
         max_factor = MAX_JITTER_SECONDS / BASE_JITTER_SECONDS
         return self.base_jitter * min(factor, max_factor)
 
     def is_turn(self, now: float, need_since: float) -> bool:
-        """Whether this node is the one to look after work.
+        """Whether this node may do the work now, as holder or successor.
 
-        :param need_since: when the need for that work arose.
+        :param now: in monotonic seconds.
+        :param need_since: when the need for the work arose.
         """
         record = self._record
         if record is None or now < self._cooldown_until:
@@ -118,10 +121,11 @@
         return self.held or now >= self._compute_turn(record, need_since)
 
     async def acquire(self, now: float, need_since: float) -> bool:
-        """Renew or take the lease for work that is to be done now.
+        """Take the lease, or renew it, for work that is due now.
 
-        :param need_since: when the need for that work arose.
-        :returns: whether this node may act.
+        :param now: in monotonic seconds.
+        :param need_since: when the need for the work arose.
+        :returns: whether this node may do the work.
         """
         record = self._record
         if record is None or not self.is_turn(now, need_since):
@@ -130,11 +134,12 @@
         return renewed or await self._claim(record)
 
     def _compute_turn(self, record: LeaseRecord, need_since: float) -> float:
-        """Tell when this node may take the lease.
+        """Compute when this node may take the lease from its holder.
 
-        A holder that renewed after the need arose is at work. Counted from
-        the need alone, every node takes the lease in turn while the loads
-        last, gives the same orders again, and each begins the load anew.
+        A holder that renewed the lease after the need arose is at work. If only
+        the time since the need counted, every node in turn would take the lease
+        while layers are still loading, and repeat the commands, and each of
+        them would restart the load.
         """
         if record.lease is None:
             return need_since + self.jitter
@@ -143,7 +148,7 @@
         return need_since + TAKEOVER_SECONDS + self.jitter
 
     async def _claim(self, record: LeaseRecord) -> bool:
-        """Take or renew the lease by a conditional write."""
+        """Take or renew the lease with a conditional write."""
         renewing = self.held
         fence = record.lease.fence if record.lease else 0
         lease = Lease(self.holder, fence if renewing else fence + 1)
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to replicas, and what is known of those under way."""
+"""Sends placement commands to replicas and tracks those in progress."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,30 +12,36 @@
 from ryelatch_node.ports import OrderResult, Orders
 
 LOAD_MARGIN_SECONDS = 2.0
-"""How much longer than reckoned a load may take before it is given up.
+"""Time added to the expected duration of a load before it counts as failed.
 
-More than six loads at a time share the store of weights.
+Loads are slower when more than six at a time share the store of weights.
 """
 
 UNANSWERED_SECONDS = 1.0
-"""How long an order without an answer is taken to be under way.
+"""How long a command without a reply is assumed to be in progress.
 
-After that it is given again, under the same expected sequence: whichever of
-the two the replica carries out first makes it refuse the other.
+After that it is sent again with the same expected sequence number: once the
+replica has executed either of the two, it refuses the other.
 """
 
 BUSY_COOLDOWN_SECONDS = 2.0
-"""How long a replica that is busy with an earlier order is left alone.
+"""Time without another command to a replica that is busy with an earlier one.
 
-A usual answer lasts as long, and layers are given up when those that pass
-through them have ended. Asked every second, a zone of busy replicas refused
-177 orders in a day.
+It is the duration of a typical answer: a replica drops layers once the answers
+that use them are finished. With a command every second, the busy replicas of
+one zone refused 177 commands in a day.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """Layers that a replica was ordered to hold."""
+    """Layers that a replica was commanded to hold.
+
+    :param until: when the command no longer counts as in progress, in
+        monotonic seconds.
+    :param busy: whether the replica refused because it is busy with an earlier
+        command; ``layers`` are then those that it holds already.
+    """
 
     layers: LayerRange
     until: float
@@ -44,7 +50,7 @@
 
 @dataclass(eq=False)
 class CommandSender:
-    """Gives orders under the lease, and keeps those that are under way."""
+    """Sends commands under the lease and tracks those in progress."""
 
     log: LineLog
     clock: Clock
@@ -57,15 +63,16 @@
 
     @property
     def pending_names(self) -> frozenset[str]:
-        """Names of the replicas with an order under way."""
+        """Names of the replicas with a command in progress."""
         return frozenset(self._pending)
 
     async def check_overdue(self) -> None:
-        """Ask replicas that are late with an order whether they are at it.
+        """Check whether replicas with an overdue command are still busy.
 
-        One that gives up layers begins to load when the last answer through
-        them has ended. Taken for idle meanwhile, it was given the order again
-        every two seconds, and others were ordered to close the same gap.
+        A replica that drops layers starts to load new ones only when the last
+        answer that uses the old ones is finished. When it was assumed to be
+        idle, it received the command again every two seconds, and other
+        replicas were commanded to close the same gap.
         """
         listed = self.replicas.replicas
         self._pending = {
@@ -84,7 +91,7 @@
         await asyncio.gather(*map(self._check_busy, overdue))
 
     def apply_pending(self, replica: Replica, now: float) -> Replica:
-        """Take what a replica was ordered to hold for held."""
+        """Return a replica with the layers that it was commanded to hold."""
         pending = self._pending.get(replica.name)
         if pending is None:
             return replica
@@ -95,10 +102,10 @@
         return replace(replica, layers=pending.layers)
 
     async def send(self, move: Move) -> OrderResult:
-        """Order a replica to hold layers, and note what became of it."""
+        """Command a replica to hold layers, and record the result."""
         replica = move.replica
         result = await self._send_once(move)
-        # Most often another node has given orders to this replica.
+        # Usually another node has sent commands to this replica since.
         conflict = result is OrderResult.CONFLICT
         if conflict and await self._refresh_sequence(replica):
             result = await self._send_once(move)
@@ -115,14 +122,14 @@
     def _handle_result(
         self, move: Move, result: OrderResult, now: float
     ) -> None:
-        """Act on what became of an order."""
+        """Update the state according to the result of a command."""
         replica = move.replica
         handlers: dict[OrderResult, Callable[[], None]] = {
             OrderResult.BEGUN: lambda: self._expect_load(move, now),
             OrderResult.HELD: lambda: self._expect_load(move, now),
             OrderResult.UNANSWERED: lambda: self._expect_unanswered(move, now),
-            # Going on would be refused again and again; the lease is followed
-            # from the store.
+            # Further commands would be refused until this node takes the lease
+            # again; changes of the lease come from the store.
             OrderResult.FENCED: self.lease.mark_fenced,
             OrderResult.CONFLICT: lambda: self._mark_busy(
                 replica, now + BUSY_COOLDOWN_SECONDS
@@ -135,14 +142,14 @@
         )()
 
     def _expect_unanswered(self, move: Move, now: float) -> None:
-        """Take an order without an answer for under way, for a while."""
+        """Assume for a while that a command without a reply is in progress."""
         until = now + UNANSWERED_SECONDS
         self._pending[move.replica.name] = _Pending(move.layers, until)
 
     def _mark_busy(self, replica: Replica, until: float) -> None:
-        """Plan nothing for a replica that is busy with an earlier order.
+        """Send nothing for a while to a replica busy with an earlier command.
 
-        Asked again at once it refuses again, at the price of an order each.
+        It would refuse each further command, and each of them has a cost.
         """
         if replica.layers is not None:
             self._pending[replica.name] = _Pending(
@@ -152,8 +159,8 @@
     async def _send_once(self, move: Move) -> OrderResult:
         fence = self.lease.fence
         if fence is None:
-            # Another node took the lease since this one renewed it. Its
-            # number is the higher one, and not this node's to use.
+            # Another node has taken the lease since this one renewed it. Its
+            # fencing number is higher, and this node must not use it.
             return OrderResult.FENCED
         name = move.replica.name
         sequence = self._sequences.get(name, 0)
@@ -178,7 +185,7 @@
         self._pending[move.replica.name] = _Pending(move.layers, until)
 
     async def _refresh_sequence(self, replica: Replica) -> bool:
-        """Learn a replica's sequence; tell whether it may be ordered now."""
+        """Read a replica's sequence number; return whether it is idle."""
         report = await self.orders.read_report(replica)
         if report is None:
             return False
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -1,4 +1,7 @@
-"""Keeps every layer held, under a lease with fencing numbers."""
+"""Places layers on replicas so that every layer of a model is held.
+
+One node does so at a time, under a lease with fencing numbers.
+"""
 
 import asyncio
 import uuid
@@ -31,43 +34,43 @@
 )
 
 MIN_PLAN_INTERVAL_SECONDS = 0.05
-"""Shortest time between two plans: changes come in runs."""
+"""Minimum time between two plans, as changes come in bursts."""
 
 TICK_SECONDS = 0.25
+"""Interval of checks while this node holds the lease or sees work to do."""
 
 IDLE_TICK_SECONDS = 1.0
-"""The same for a node that has nothing to look after.
+"""Interval of checks at all other times.
 
-Only what expires shows at a tick; all else wakes it. Four looks a second at
-two hundred replicas are half a percent of a small core.
+These checks only find what expires, as all other changes wake the controller.
+Four checks a second of two hundred replicas take 0.5% of a small core.
 """
 
 IMPROVEMENT_DELAY_SECONDS = 3.0
-"""How long others leave a change to the holder where no layer is missing.
+"""Additional time before the lease is taken where no layer is missing.
 
-No request waits for it: an empty replica is put to use so much later if the
-holder is lost. Only where layers are missing is it followed at once.
+No request waits for such a change. If the holder is lost, an empty replica is
+put to use later by this time; only missing layers call for a fast takeover.
 """
 
-
 IMPROVEMENT_JITTER_FACTOR = 10
-"""By how much more others differ in patience then.
+"""Factor by which the takeover jitter grows where no layer is missing.
 
-Each of them that outlasts the holder's silence works out a plan, mostly to
-find that nothing is to be done.
+Each node whose wait ends while the holder does nothing computes a plan, which
+is usually empty.
 """
 
 _Pools: TypeAlias = tuple[tuple[ModelProfile, list[Replica]], ...]
-"""Models, each with the replicas that hold it or are to."""
+"""Models, each with the replicas of its service."""
 
 
 @dataclass(frozen=True)
 class _PlanInput:
-    """What a plan depends on.
+    """The state that a plan is computed from.
 
-    :param missing: whether nobody holds some layer of a pool.
-    :param pending: names of replicas with an order under way.
-    :param thorough: whether pools may be laid out anew.
+    :param missing: whether a pool has a layer that no replica holds.
+    :param pending: names of replicas with a command in progress.
+    :param thorough: whether all layers of a pool may be assigned anew.
     """
 
     pools: _Pools
@@ -78,7 +81,7 @@
 
 @dataclass(eq=False)
 class PlacementDuty:
-    """Plans, and orders what the plan says if this node holds the lease."""
+    """Plans layer placement and commands replicas, while it holds the lease."""
 
     log: LineLog
     clock: Clock
@@ -88,14 +91,14 @@
     lease: LeaseKeeper
     usage: CostBook = field(default_factory=CostBook)
     _planned: _PlanInput | None = None
-    _checked_pools: tuple[_Pools, bool] | None = None
+    _last_gap_check: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
     _commands: CommandSender = field(init=False)
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
-        """Open the book of orders."""
+        """Create the sender of commands."""
         self._commands = CommandSender(
             self.log,
             self.clock,
@@ -106,21 +109,21 @@
         )
 
     async def start(self) -> None:
-        """Begin to look after the layers."""
+        """Start to check the layers."""
         self._task = asyncio.create_task(
             keep_running('placement', self._run, self.log)
         )
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop planning."""
         await cancel_task(self._task)
 
     def wake(self, _: ReplicasChanged) -> None:
-        """Look again, as something has changed."""
+        """Check the layers soon, as the view of the replicas has changed."""
         self._wake.set()
 
     def set_node_count(self, counted: NodesCounted) -> None:
-        """Be as patient as the number of nodes demands."""
+        """Scale the takeover jitter to the number of nodes."""
         self.lease.nodes = counted.nodes
 
     async def _run(self) -> None:
@@ -152,9 +155,9 @@
             return
         with self.usage.spend('plan'):
             moves = self._plan(state, now)
-        # Where a plan orders nothing it stays as it is until something
-        # changes. Made anew at each tick, plans took more than half of a
-        # node's processor time on a calm day: 0.083 of a core, 0.037 without.
+        # An empty plan stays valid until its input changes. When plans were
+        # computed again at each tick, they took more than half of a node's CPU
+        # time under low load: 0.083 cores with them, 0.037 without.
         self._planned = None if moves else state
         if not moves:
             return
@@ -162,7 +165,7 @@
             await self._send_all(moves)
 
     def _observe(self, now: float) -> _PlanInput | None:
-        """See what there is to plan for; nothing while the list grows."""
+        """Collect the input of a plan; nothing while the list still grows."""
         table = self.configuration.table
         listed = self.replicas.replicas.values()
         self._timing.record_replicas(listed, now)
@@ -184,11 +187,11 @@
         )
 
     def _lacks_layers(self, pools: _Pools) -> bool:
-        """Whether layers are missing; worked out when something changed."""
-        if self._checked_pools is None or self._checked_pools[0] != pools:
+        """Whether layers are missing; computed only when pools have changed."""
+        if self._last_gap_check is None or self._last_gap_check[0] != pools:
             missing = any(misses_layers(alive, model) for model, alive in pools)
-            self._checked_pools = (pools, missing)
-        return self._checked_pools[1]
+            self._last_gap_check = (pools, missing)
+        return self._last_gap_check[1]
 
     def _list_alive(self, service: str, now: float) -> list[Replica]:
         return [
@@ -197,7 +200,7 @@
         ]
 
     def _compute_need_since(self, state: _PlanInput) -> float:
-        """Tell since when there has been something to look after."""
+        """Compute since when the need for work counts for taking the lease."""
         need_since = self._timing.need_since or self.clock.monotonic()
         if state.missing:
             return need_since
@@ -213,21 +216,21 @@
         now: float,
         need_since: float,
     ) -> bool:
-        """Tell whether this node is the one to plan now.
-
-        Every node sees what the holder of the lease sees. Planned by all at
-        each change, a fleet spends processor time on plans that nobody carries
-        out, in proportion to its nodes: a plan of 205 replicas takes 56 ms of a
-        core, the first one 257 ms, where a look for gaps takes 0.6 ms.
-        Where layers are missing the lease comes first, so that nodes whose
-        turns are close don't all work out the same repair.
+        """Return whether this node is to plan now.
+
+        All nodes see the same state. If each of them planned at every change,
+        the fleet would spend CPU time, in proportion to its size, on plans that
+        are not executed: a plan for 205 replicas takes 56 ms, the first one
+        257 ms, while a check for gaps takes 0.6 ms. Where layers are missing,
+        the lease is taken before planning, so that nodes whose turns are close
+        together don't all compute the same repair.
         """
         if state.missing:
             return await self.lease.acquire(now, need_since)
         return self.lease.is_turn(now, need_since)
 
     def _plan(self, state: _PlanInput, now: float) -> list[Move]:
-        """Plan the orders that are due now."""
+        """Compute the commands that are due now."""
         moves = [
             move
             for model, alive in state.pools
@@ -241,7 +244,8 @@
     async def _send_all(self, moves: list[Move]) -> None:
         results = await asyncio.gather(*map(self._commands.send, moves))
         if OrderResult.FENCED in results:
-            # Another node orders under a higher number; its turn counts anew.
+            # Another node sends commands under a higher fencing number. The
+            # need counts from now, so that this node waits for its turn again.
             self._timing.need_since = self.clock.monotonic()
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
@@ -1,4 +1,4 @@
-"""When a fleet is calm enough to be planned, and needs to be."""
+"""Decides when the replicas are stable enough for planning."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -6,37 +6,37 @@
 from ryelatch_core.fleet import Replica
 
 MIN_GAP_SECONDS = 2.5
-"""How long a gap must last before its zone is laid out anew.
+"""Time that layers must be missing before all layers of a zone are reassigned.
 
-Replicas that crash are mostly back within four seconds, and replaced ones
-have successors; laying out anew loads most of a zone.
+Crashed replicas are usually back within four seconds, and removed ones are
+replaced; reassigning all layers makes most replicas of a zone load again.
 """
 
 SETTLE_SECONDS = 1.5
-"""How long the list must not grow before an empty fleet is planned.
+"""Time without new replicas before a fleet that holds no layers is planned.
 
-Replicas register over four to five seconds after a first start, several a
-second; a plan for the first few would have to be done again.
+After a first start, replicas register over four to five seconds, several per
+second; a plan for only the first of them would soon be obsolete.
 """
 
 RELAYOUT_COOLDOWN_SECONDS = 12.0
-"""How long a zone that was laid out anew is not laid out again.
+"""Minimum time between two reassignments of all layers of a zone.
 
-Replicas first finish what passes through the layers that they give up, up to
-ten seconds. When replicas are replaced one a second, each of them would
-change all ranges, and the zone would never be whole.
+Replicas first finish the answers that use the layers they drop, which takes up
+to ten seconds. If one replica per second is replaced, each replacement would
+change all layer ranges, and the zone would never hold all layers.
 """
 
 STEADY_SECONDS = 2.5
-"""How long no replica may have come or gone before a zone is laid out."""
+"""Time without added or removed replicas before layers are reassigned."""
 
 
 @dataclass(eq=False)
 class PlanTiming:
-    """What a node saw come, go and lack, with times in monotonic seconds.
+    """Times of changes in this node's view, in monotonic seconds.
 
-    :param need_since: when the need for orders arose.
-    :param gap_since: when layers were first missing.
+    :param need_since: when the need for commands arose; nothing if none.
+    :param gap_since: since when layers have been missing; nothing if none are.
     """
 
     need_since: float | None = None
@@ -50,7 +50,7 @@
     def record_replicas(
         self, replicas: Collection[Replica], now: float
     ) -> None:
-        """Note which replicas there are."""
+        """Record which replicas are listed."""
         members = frozenset(
             replica.name for replica in replicas if not replica.leaving
         )
@@ -62,15 +62,15 @@
         self._listed_count = len(replicas)
 
     def record_gap(self, now: float, *, missing: bool) -> None:
-        """Note whether layers are missing."""
-        self.gap_since = _update_since(self.gap_since, now, lasts=missing)
+        """Record whether layers are missing."""
+        self.gap_since = _update_since(self.gap_since, now, holds=missing)
 
     def record_need(self, now: float, *, needed: bool) -> None:
-        """Note whether orders are due."""
-        self.need_since = _update_since(self.need_since, now, lasts=needed)
+        """Record whether commands are due."""
+        self.need_since = _update_since(self.need_since, now, holds=needed)
 
     def record_relayout(self, now: float) -> None:
-        """Note that a zone was laid out anew."""
+        """Record that all layers of a zone were reassigned."""
         self._relayout_at = now
 
     def is_settled(self, replicas: Collection[Replica], now: float) -> bool:
@@ -80,7 +80,7 @@
         return bool(replicas) and now - self._grown_at > SETTLE_SECONDS
 
     def may_relayout(self, now: float) -> bool:
-        """Whether a gap has lasted, and replicas neither come nor go."""
+        """Whether all layers of a zone may be reassigned."""
         lasted = now - self.gap_since if self.gap_since else 0
         return (
             lasted > MIN_GAP_SECONDS
@@ -90,9 +90,9 @@
 
 
 def _update_since(
-    since: float | None, now: float, *, lasts: bool
+    since: float | None, now: float, *, holds: bool
 ) -> float | None:
-    """Tell since when something lasts; nothing if it does not."""
-    if not lasts:
+    """Return since when a condition holds; nothing if it does not."""
+    if not holds:
         return None
     return now if since is None else since
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/duty/test_placement.py
@@ -1,4 +1,4 @@
-"""One node at a time gives orders, and a lost one is followed soon."""
+"""One node at a time sends placement commands; a lost one is replaced soon."""
 
 import asyncio
 import dataclasses
@@ -17,11 +17,11 @@
 
 
 async def test_one_node_orders_while_a_load_lasts() -> None:
-    """Layers are lost; loading them elsewhere takes longer than patience.
+    """Loading lost layers elsewhere takes longer than the takeover delay.
 
-    Every node sees the gap for as long. When patience was counted from the
-    gap alone, all took the lease in turn and gave the same order again, and
-    each began the load anew.
+    Every node sees the gap until then. When the delay was counted from the gap
+    alone, all nodes took the lease in turn and repeated the same command, and
+    each command restarted the load.
     """
     platform = FakePlatform(load_seconds=2.5)
     async with run_nodes(platform, 4):
@@ -39,10 +39,10 @@
 
 
 async def test_lost_holder_is_followed() -> None:
-    """The holder of the lease is gone; a gap opens.
+    """Layers are lost after the holder of the lease is gone.
 
     Another node takes the lease under a higher fencing number within about
-    a second, and orders.
+    a second, and sends the commands.
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 2):
@@ -59,7 +59,8 @@
 async def test_fenced_node_orders_no_more() -> None:
     """An engine has seen a higher fencing number than this node's.
 
-    Another node is at work. Ordering on would be refused each time.
+    Another node controls placement, and engines would refuse each further
+    command of this node.
     """
     platform = FakePlatform(result=OrderResult.FENCED)
     async with run_nodes(platform, 1):
@@ -75,7 +76,7 @@
 
 
 async def test_unwritten_lease_gives_no_orders() -> None:
-    """The store does not answer the claim: nobody may order."""
+    """The store does not reply to a claim, so no node may send commands."""
     platform = FakePlatform(lose_writes=True)
     async with run_nodes(platform, 2):
         platform.list_replicas(
@@ -89,9 +90,9 @@
 
 
 async def test_busy_replica_is_left_alone() -> None:
-    """A replica refuses as it carries out an earlier order.
+    """A replica refuses a command as it is executing an earlier one.
 
-    Asked again at once it refuses again, each time at a price.
+    It would refuse each immediate retry, and each of them has a cost.
     """
     platform = FakePlatform(result=OrderResult.CONFLICT)
     async with run_nodes(platform, 1):
@@ -107,10 +108,10 @@
 
 
 async def test_number_of_another_holder_is_not_used() -> None:
-    """Another node takes the lease between a renewal and an order.
+    """Another node takes the lease between a renewal and a command.
 
-    An order under that node's number would pass for its own, and the engine
-    could not tell the older plan from the newer one.
+    If this node used the fencing number of the other one, the engine could not
+    tell the older plan from the newer one.
     """
     platform = FakePlatform()
     async with run_nodes(platform, 1):
@@ -140,7 +141,7 @@
 async def test_steady_fleet_is_planned_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing changes for seconds; plans at each tick cost 5% of a core."""
+    """Planning an unchanged fleet at each tick took 5% of a core."""
     plans = []
 
     def count(*known: object, **options: object) -> tuple[()]:
@@ -159,10 +160,11 @@
 
 
 async def test_zone_in_change_is_not_laid_out() -> None:
-    """Replicas are replaced one after the other, and layers are missing.
+    """Replicas are replaced one after another while layers are missing.
 
-    Laying the zone out anew for each of them would change every range each
-    time, and the zone would never be whole. It waits until they have settled.
+    Reassigning all layers of the zone at each replacement would change every
+    range each time, and the zone would never hold all layers. The controller
+    waits until the list of replicas is stable.
     """
     platform = FakePlatform()
     # Four layers fill such a replica, so neither can reach into the gap, and
@@ -186,10 +188,11 @@
 
 
 async def test_replica_that_waits_is_not_ordered_again() -> None:
-    """A replica gives up layers and waits for long answers through them.
+    """A replica that drops layers waits for long answers that use them.
 
-    Its new layers come late. Taken for idle it was ordered again and again,
-    and others were ordered to close the same gap.
+    Its new layers are loaded late. When it was assumed to be idle, it received
+    the command again and again, and other replicas were commanded to close the
+    same gap.
     """
     platform = FakePlatform(load_seconds=30)
     async with run_nodes(platform, 1):
@@ -202,17 +205,17 @@
         )
         await wait_until(lambda: platform.orders)
         first = list(platform.orders)
-        # Longer than a load may take before it is given up.
+        # Longer than a load may take before it counts as failed.
         await asyncio.sleep(4)
         assert platform.orders == first
 
 
 async def test_holder_that_knew_first_is_left_alone() -> None:
-    """The holder hears of a loss half a second before the others.
+    """The holder learns of a loss half a second before the other nodes.
 
-    It renews its lease and orders, and the others hear of that before they
-    hear of the loss. It is at work; a second node that took the lease gave
-    other orders to the same replicas.
+    It renews its lease and sends commands, and the others receive the renewal
+    before they learn of the loss. When a second node took the lease then, it
+    sent different commands to the same replicas.
     """
     platform = FakePlatform(load_seconds=2.5)
     gap = [make_replica('m-0', LayerRange(0, 4)), make_replica('m-1', None)]
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/duty/test_turns.py
@@ -1,4 +1,4 @@
-"""Who plans, and whose turn it is to follow a lost holder."""
+"""Which node plans, and which one replaces a lost holder of the lease."""
 
 import asyncio
 
@@ -20,11 +20,11 @@
 async def test_only_the_holder_plans_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Replicas change one after the other in a fleet of many nodes.
+    """Replicas change one after another in a fleet of many nodes.
 
-    Each node used to plan at each change, also those that may order nothing.
-    A plan of two hundred replicas takes 56 ms of a core, and callers of all
-    nodes waited behind plans that nobody carried out.
+    Each node used to plan at each change, even if it must not send commands.
+    A plan for two hundred replicas takes 56 ms of a core, so that clients of
+    all nodes waited for plans that were never executed.
     """
     planned: list[object] = []
 
@@ -49,10 +49,10 @@
 async def test_first_layout_is_planned_by_one_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A whole fleet starts, and nobody holds any layer yet.
+    """A fleet starts whose replicas hold no layers yet.
 
-    The first plan is the longest one. Nodes whose turns lay closer together
-    than that all worked it out before they heard that one had the lease.
+    The first plan takes the longest. Nodes whose turns were closer together
+    than that all computed it before they learned that one had the lease.
     """
     planned: list[object] = []
 
@@ -70,9 +70,9 @@
 
 
 async def test_empty_replica_is_used_without_the_holder() -> None:
-    """The holder of the lease is gone, and a replica comes in empty.
+    """Empty replicas register after the holder of the lease is gone.
 
-    No layer is missing, so nobody is in a hurry; but it is put to use.
+    No layer is missing, so the takeover is slow, but they are put to use.
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 1):
@@ -88,10 +88,10 @@
 
 
 def test_claims_stay_rare_in_large_fleets() -> None:
-    """A holder is lost in a fleet of two hundred nodes.
+    """The holder of the lease is lost in a fleet of two hundred nodes.
 
-    With a spread for eight, three hundred turns fall into each second and
-    as many nodes plan the same repair.
+    With the jitter of a fleet of eight, turns come at a rate of three hundred
+    per second, and as many nodes plan the same repair.
     """
     platform = FakePlatform()
     samples = [number / 200 for number in range(200)]
