--- a/packages/ryelatch-node/src/ryelatch_node/control/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/__init__.py
@@ -1,4 +1,4 @@
-"""Duties that one node holds at a time: repair of the engines' layers."""
+"""Tasks that one node performs at a time under a lease: repair of layers."""
 
 from ryelatch_node.control._keeper import HeldLease, LeaseKeeper
 from ryelatch_node.control._service import Repair, setup
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -1,4 +1,4 @@
-"""Leases in the store."""
+"""Leases on tasks, as records in the store."""
 
 from dataclasses import dataclass
 
@@ -18,11 +18,13 @@
 
 @dataclass(frozen=True)
 class HeldLease:
-    """A lease that this node believes to hold.
+    """A lease that this node holds according to its view.
 
-    :param renewed: monotonic seconds before the last write of it was begun.
-    :param taken: monotonic seconds from which orders of an earlier holder
-        could be under way.
+    :param version: of the record in the store, for conditional writes.
+    :param renewed: when the last successful write was started, in monotonic
+        seconds.
+    :param taken: monotonic seconds after which the previous holder can't have
+        sent a command; one sent before may still be in progress.
     """
 
     lease: Lease
@@ -33,14 +35,21 @@
 
 @dataclass(frozen=True)
 class _ObservedVersion:
-    """A version of another's lease and since when it has stood."""
+    """The last version of another node's lease that this node has read.
+
+    :param since: when it was first read, in monotonic seconds.
+    """
 
     version: str
     since: float
 
 
 class LeaseKeeper:
-    """Takes, proves, renews and gives back leases."""
+    """Takes, renews and releases leases.
+
+    :param name: name of this node, as the holder of its leases.
+    :ivar held: the leases that this node holds, by task.
+    """
 
     def __init__(
         self,
@@ -57,7 +66,7 @@
         self._observed: dict[str, _ObservedVersion] = {}
 
     async def take(self, task: str) -> bool:
-        """Take a lease if nobody holds it; tell whether it is held now."""
+        """Take or renew a lease; return whether this node holds it now."""
         if task in self.held:
             return await self.renew(task)
         started = self._clock.monotonic()
@@ -74,7 +83,7 @@
         return await self._write(task, new_lease, entry, started)
 
     async def renew(self, task: str) -> bool:
-        """Renew a lease, which also proves that nobody else has taken it."""
+        """Renew a lease, which also proves that no other node has taken it."""
         held = self.held[task]
         started = self._clock.monotonic()
         written = await self._store.update(
@@ -89,7 +98,7 @@
         return True
 
     async def release(self, task: str) -> None:
-        """Give a lease back."""
+        """Release a lease if this node holds it."""
         held = self.held.pop(task, None)
         if held is not None:
             body = _encode(release_lease(held.lease))
@@ -99,7 +108,7 @@
             )
 
     def may_order(self, task: str) -> bool:
-        """Tell whether an order may be sent under a lease by now."""
+        """Return whether a command may be sent under a lease now."""
         held = self.held.get(task)
         if held is None:
             return False
@@ -108,7 +117,7 @@
     def _measure_unchanged(
         self, task: str, entry: Entry | None, now: float
     ) -> float:
-        """Note the version of a lease; seconds since it was first seen."""
+        """Compute the seconds for which this node saw a lease unchanged."""
         if entry is None:
             return 0
         observed = self._observed.get(task)
@@ -131,8 +140,8 @@
             written = await self._store.update(_key(task), body, entry.version)
         if written.is_err():
             return False
-        # Only a holder that lapsed may have an order under way; one that gave
-        # the lease back has waited for its own.
+        # Only a holder whose lease expired may have a command in progress; one
+        # that released the lease has waited for its commands to finish.
         expired = entry is not None and not _decode(entry).released
         taken = self._clock.monotonic() if expired else started - ORDER_SECONDS
         self.held[task] = HeldLease(
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -1,4 +1,4 @@
-"""Repair: layers of engines that are gone are given to others."""
+"""Repair: assigns the layers of lost engines to other engines."""
 
 import asyncio
 import hashlib
@@ -24,11 +24,13 @@
 
 
 class Repair:
-    """Looks for layers without an engine, and orders what mends it.
+    """Finds layers that no engine holds and commands engines to load them.
 
-    Nothing on the request path waits for it: answers go on over what chains
-    there are. A lease is held only while there is something to mend, so an
-    idle fleet writes nothing to the store.
+    The request path does not wait for a repair: answers use the chains that
+    remain. The lease is held only while a repair is needed, so a healthy fleet
+    writes nothing to the store.
+
+    :param name: name of this node.
     """
 
     def __init__(self, app: App, leases: LeaseKeeper, name: str) -> None:
@@ -38,17 +40,17 @@
         self._timeline = app.find('timeline', Timeline)
         self._settings_holder = app.find('settings', SettingsHolder)
         self._upstreams = app.find('upstreams', Upstreams)
-        self._missing_since: dict[str, float] = {}
+        self._needed_since: dict[str, float] = {}
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start looking."""
+        """Start to check the layers of all models."""
         self._session = aiohttp.ClientSession()
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Give back all leases."""
+        """Stop, and release all leases."""
         await cancel_task(self._task)
         for task in list(self._leases.held):
             await self._leases.release(task)
@@ -65,11 +67,11 @@
         task = f'repair/{name}'
         move = self._plan(name, model)
         if move is None:
-            self._missing_since.pop(name, None)
+            self._needed_since.pop(name, None)
             await self._leases.release(task)
             return
         now = self._app.clock.monotonic()
-        since = self._missing_since.setdefault(name, now)
+        since = self._needed_since.setdefault(name, now)
         if now - since < GRACE_SECONDS + self._compute_turn_delay(name):
             return
         if not await self._leases.take(task):
@@ -89,9 +91,9 @@
         return plan_repair(holdings, model.layers)
 
     def _compute_turn_delay(self, model: str) -> float:
-        """Seconds by which this node lets others go first.
+        """Compute the seconds that this node waits for others to act first.
 
-        All nodes see a gap at the same moment; without turns each would
+        All nodes see a gap at the same time; without turns, all of them would
         write to the store at once.
         """
         peers = self._app.find('peers', Peers)
@@ -110,17 +112,17 @@
         model: Model,
         move: Move,
     ) -> None:
-        """Send one order and read its effect back."""
+        """Send one command, and wait until the engine reports its effect."""
         link = self._upstreams.links.get(move.name)
         if link is None or link.hello is None:
             return
         rules = self._settings_holder.settings.engines.get(link.hello.kind)
         checks_fence = rules is not None and rules.fencing
         if not checks_fence and not await self._leases.renew(task):
-            # This engine would take an order from anyone. The renewal just
-            # before is the only proof that the lease has not lapsed; what is
-            # left is a pause between it and the engine's reading of the
-            # order, which the order's time limit bounds.
+            # This engine does not check fencing numbers. The renewal just
+            # before is the only proof that the lease has not expired. A pause
+            # between it and the arrival of the command remains possible; the
+            # timeout of the command bounds it.
             self._timeline.record(
                 catalogue.ORDER_REFUSED, upstream=move.name, reason='lapsed'
             )
@@ -163,7 +165,7 @@
             return HTTPStatus.GATEWAY_TIMEOUT
 
     async def _wait_until_applied(self, link: EngineLink, move: Move) -> None:
-        """Wait until the engine says itself that it holds the layers."""
+        """Wait until the engine reports the layers, or a timeout passes."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + _CONFIRMATION_SECONDS
         while loop.time() < deadline:
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which replicas end from replicas."""
+"""Refuses requests that appear to crash replicas."""
 
 from ryelatch_node.quarantine._service import Quarantine, setup
 
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -1,4 +1,4 @@
-"""Shares what nodes know of requests under which replicas end."""
+"""Refuses requests that crash replicas, and shares this state among nodes."""
 
 import asyncio
 import contextlib
@@ -11,13 +11,16 @@
 from ryelatch_node.ports import QuarantineStore
 
 TICK_SECONDS = 0.1
-"""How often is looked for what the store is to be told, while there is."""
+"""Interval of checks for due writes to the store while writes are pending."""
 
 IDLE_SECONDS = 5.0
-"""The same while this node has nothing to tell; only what lapses is found."""
+"""Interval of checks while none are pending; they only find what expires."""
 
 MAX_WRITES = 20
-"""Writes in a row; in the loss of a whole group others have their turn."""
+"""Maximum writes in a row.
+
+After the loss of a whole group of replicas, other nodes get their turn as well.
+"""
 
 _FIRST_RETRY_SECONDS = 0.1
 _MAX_RETRY_SECONDS = 1.6
@@ -25,12 +28,13 @@
 
 @dataclass(eq=False)
 class Quarantine:
-    """Requests that are refused as replicas end under them.
+    """Refuses requests under which replicas crash.
 
-    Each attempt of a client may come to another node. So what each node sees
-    is kept in the store, where all follow it, a node that starts included.
+    Each retry of a client may arrive at a different node. So the crashes that
+    each node observes are kept in the store, which all nodes watch, including
+    nodes that have just started.
 
-    :param tracker: what is known.
+    :param tracker: the crashes observed by this node and by others.
     """
 
     log: LineLog
@@ -42,21 +46,21 @@
     _logged: frozenset[str] = frozenset()
 
     async def start(self) -> None:
-        """Begin to tell the store."""
+        """Start to write observed crashes to the store."""
         self._task = asyncio.create_task(
             keep_running('quarantine', self._run, self.log)
         )
 
     async def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop writing to the store."""
         await cancel_task(self._task)
 
     def find_refused(self, digest: str) -> Case | None:
-        """Find why a request is refused; nothing if it isn't."""
+        """Find the crashes a request is refused for; nothing if it is not."""
         return self.tracker.find_refused(digest)
 
     def is_suspect(self, digest: str) -> bool:
-        """Whether a replica has ended under a request that may be why."""
+        """Whether a request may be the cause of a crash."""
         return self.tracker.is_suspect(digest, self.clock.monotonic())
 
     def count_refused(self) -> int:
@@ -64,7 +68,7 @@
         return len(self._logged)
 
     def count_suspects(self) -> int:
-        """Count the requests under which replicas ended, refused or not."""
+        """Count the requests under which replicas crashed, refused or not."""
         return len(self.tracker)
 
     def note_end(
@@ -74,10 +78,12 @@
         phase: Manner,
         request: str,
     ) -> None:
-        """Note that a replica has ended under a request.
+        """Record that a replica crashed while it held a request.
 
-        :param incarnation: name of the replica's life.
-        :param request: identity of the attempt, for the line.
+        :param digest: hash of the request's content.
+        :param incarnation: name of the incarnation that crashed.
+        :param phase: whether the request had begun to run or was waiting.
+        :param request: ID of the attempt, for the log.
         """
         now = self.clock.monotonic()
         if self.tracker.note_end(digest, incarnation, phase, now):
@@ -91,37 +97,37 @@
             self._on_change()
 
     def note_run(self, digest: str) -> None:
-        """Note that a request has run and its replica is still there."""
+        """Record that a request has run and its replica has not crashed."""
         if self.tracker.note_run(digest, self.clock.monotonic()):
             self._on_change()
 
     def put(self, stored: StoredCase) -> None:
-        """Take what the store holds of a request."""
+        """Apply the stored crashes of a request."""
         self.tracker.put(stored, self.clock.monotonic())
         self._on_change()
 
     def remove(self, digest: str) -> None:
-        """Take note that a request is let in again."""
+        """Apply the deletion of a request's crashes from the store."""
         self.tracker.remove(digest, self.clock.monotonic())
         self._on_change()
 
     def replace(self, listed: Iterable[StoredCase]) -> None:
-        """Take all that the store holds."""
+        """Apply a complete list of the store's contents."""
         self.tracker.replace(listed, self.clock.monotonic())
         self._on_change()
 
     def judge(self) -> None:
-        """Decide anew what is refused, as time has passed."""
+        """Re-evaluate which requests are refused, as crashes expire."""
         self.tracker.judge(self.clock.monotonic())
         self._log_changes()
 
     def _on_change(self) -> None:
-        """Record what has changed, and look for what the store is to know."""
+        """Log changes, and wake the task that writes to the store."""
         self._log_changes()
         self._changed.set()
 
     def _log_changes(self) -> None:
-        """Record which requests are refused from now on, and which no more."""
+        """Log which requests are newly refused, and which no longer are."""
         refused = self.tracker.refused
         for digest in refused.keys() - self._logged:
             case = refused[digest]
@@ -143,8 +149,8 @@
                 pause = _FIRST_RETRY_SECONDS
                 await self._wait()
             else:
-                # The store is out. Nothing is lost: it is told when it is
-                # back, and this node itself knows already.
+                # The store is unavailable. Nothing is lost: this node applies
+                # the crashes already, and writes them once the store is back.
                 await asyncio.sleep(pause)
                 pause = min(_MAX_RETRY_SECONDS, pause * 2)
 
@@ -160,7 +166,7 @@
         return True
 
     async def _wait(self) -> None:
-        """Wait for something to tell, without a look at each of its changes."""
+        """Wait until writes may be due, without a check at every change."""
         await asyncio.sleep(TICK_SECONDS)
         if self.tracker.has_news(self.clock.monotonic()):
             return
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps what is sent to a replica within what it says that it takes."""
+"""Enforces the rate limits and backoffs that replicas report."""
 
 from ryelatch_node.throttle._lines import PermitLines
 from ryelatch_node.throttle._service import Throttle, setup
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -1,4 +1,4 @@
-"""Grants the permits of replicas that named a limit, to all nodes."""
+"""Grants permits for replicas with a rate limit to all nodes."""
 
 from dataclasses import dataclass, field
 
@@ -10,10 +10,10 @@
 
 @dataclass(eq=False)
 class Limiter:
-    """What a node knows of limits, and the permits that it grants by them.
+    """Tracks the limits of replicas and grants permits within them.
 
-    Any node grants that is asked to; which one is asked is for the others to
-    agree on.
+    A node grants permits to any node that requests them; the requesters choose
+    which node they ask.
     """
 
     log: LineLog
@@ -22,9 +22,11 @@
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
     def hear(self, name: str, reported: Heard) -> bool:
-        """Take what a replica said, from whomever.
+        """Record a limit that a replica reported to any node.
 
-        :returns: whether it has a limit now and had none, or the reverse.
+        :param name: name of the replica's incarnation.
+        :returns: whether the replica now has a limit and had none, or the
+            reverse.
         """
         if not self.limits.hear(name, reported):
             return False
@@ -37,7 +39,7 @@
         return True
 
     def handle_request(self, request: PermitQuestion) -> PermitReply:
-        """Grant a permit to a node that asks, if there is one."""
+        """Grant a permit to a node that requests one, if there is one."""
         name, now = request.replica, self.clock.monotonic()
         self.hear(name, Heard(request.limit, now - request.age))
         reported = self.limits.find(name)
@@ -56,7 +58,7 @@
         )
 
     def make_request(self, name: str) -> PermitQuestion:
-        """Ask for a permit, with what this node knows of the limit."""
+        """Build a request for a permit, with this node's view of the limit."""
         reported = self.limits.find(name)
         now = self.clock.monotonic()
         if reported is None:
@@ -64,10 +66,11 @@
         return PermitQuestion(name, reported.limit, max(0, now - reported.at))
 
     def forget_idle(self) -> None:
-        """Forget the permits that nobody asks for any more.
+        """Drop the token buckets of replicas for which no permit is requested.
 
-        Not those of replicas that this node does not list: it may hear of one
-        later than others do, and would begin anew with each question.
+        Buckets of replicas that this node does not list are kept: the node may
+        learn of a replica later than others do, and would start with a new
+        bucket at each request.
         """
         now = self.clock.monotonic()
         self._buckets = {
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -1,4 +1,4 @@
-"""Asks other nodes for permits."""
+"""Client for permits that other nodes grant."""
 
 import asyncio
 from collections import defaultdict
@@ -19,21 +19,27 @@
 )
 
 PERMIT_TIMEOUT_SECONDS = 0.1
-"""Longest wait for a permit; a request waits for it, and has other replicas."""
+"""Timeout of a permit request.
+
+A client's request waits for it, and other replicas may be able to serve it.
+"""
 
 COOLDOWN_SECONDS = 2.0
-"""How long a node that did not answer is not asked again."""
+"""Time without another request to a node that did not reply."""
 
 MAX_COOLDOWN_SECONDS = 64.0
-"""The same at most, as it doubles each time; a VM may be gone for good."""
+"""Maximum of this time, which doubles at each failure.
+
+The VM may have been removed permanently.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class _Cooldown:
-    """That a node left questions unanswered.
+    """A time without requests to a node that did not reply.
 
-    :param until: when it is asked again, in monotonic seconds.
-    :param seconds: seconds for which it was left.
+    :param until: when it may be asked again, in monotonic seconds.
+    :param seconds: duration of the cooldown.
     """
 
     until: float
@@ -42,7 +48,7 @@
 
 @dataclass(eq=False)
 class PermitLines:
-    """Connections to the nodes that grant permits, by address."""
+    """Requests permits, over one connection to each node that grants them."""
 
     log: LineLog
     clock: Clock
@@ -59,21 +65,21 @@
             self._drop(address)
 
     def is_cooling_down(self, limiter: NodeEntry) -> bool:
-        """Whether a node left a question unanswered a short while ago."""
+        """Whether a node is not asked for a while, as it did not reply."""
         cooldown = self._cooldowns.get(limiter.address)
         return cooldown is not None and self.clock.monotonic() < cooldown.until
 
-    async def ask(
+    async def request_permit(
         self,
         limiter: NodeEntry,
         request: PermitQuestion,
     ) -> PermitReply | None:
-        """Ask a node for a permit.
+        """Request a permit from a node.
 
         :returns: nothing if no reply came.
         """
         async with self._locks[limiter.address]:
-            # Those before may have found out that it does not answer.
+            # An earlier request may have failed while this one was waiting.
             if self.is_cooling_down(limiter):
                 return None
             try:
@@ -82,7 +88,7 @@
                 self._begin_cooldown(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
-                # A reply still to come would answer the next question.
+                # A late reply would be taken for that to the next request.
                 self._drop(limiter.address)
                 raise
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -1,4 +1,4 @@
-"""Keeps to what replicas say in their answers of how much they take."""
+"""Limits requests to replicas as they demand it in their answers."""
 
 import itertools
 import math
@@ -17,32 +17,34 @@
 from ryelatch_node.throttle._lines import PermitLines
 
 MAX_LIMITERS_ASKED = 2
-"""Nodes that are asked for a permit at most, one after the other."""
+"""Maximum number of nodes that are asked for a permit, one after another."""
 
 MAX_LIMITERS = 6
-"""Nodes that may grant the permits of a replica, if those before are gone.
+"""Nodes that may grant the permits of a replica, in order of preference.
 
-VMs that were removed for good stay in the list of nodes.
+Later ones are needed as VMs that were removed permanently stay in the list of
+nodes.
 """
 
 MIN_WAIT_SECONDS = 0.05
-"""Seconds for which a replica is left at least where there is no permit."""
+"""Minimum time without requests to a replica after a denied permit."""
 
 MAX_WAIT_SECONDS = 1.0
-"""The same at most: another node may have left permits meanwhile."""
+"""Maximum of this time, as other nodes may leave permits unused."""
 
 
 @dataclass(eq=False)
 class Throttle:
-    """Permits for requests to replicas that named a limit.
+    """Enforces the rate limits and backoffs that replicas report.
 
-    The limit is for all nodes together, and each knows its own requests only.
-    So one node grants the permits of a replica, and the others ask it. Which
-    one follows from the list of nodes; if it does not answer, the next one.
-    Without a permit a request goes to another replica.
+    A rate limit applies to all nodes together, but each node only sees its own
+    requests. So one node, the limiter, grants the permits of a replica, and the
+    others request them from it. All nodes derive the limiter from the list of
+    nodes; if it does not reply, they ask the next node in rank. Without a
+    permit, a request goes to another replica.
 
-    What a replica said goes along with each question and each reply, so a
-    limit that is over at one node is soon over at all.
+    Every permit request and reply carries the last reported limit, so that the
+    end of a limit quickly reaches all nodes.
     """
 
     log: LineLog
@@ -59,25 +61,25 @@
     _tasks: Tasks = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make what tells others, and answer them."""
+        """Create the limiter and register it to serve other nodes."""
         self._tasks = Tasks(self.log, 'throttle')
         self.limiter = Limiter(self.log, self.clock)
         self.news.server.answer_permit = self.limiter.handle_request
 
     async def stop(self) -> None:
-        """Ask and tell nothing more."""
+        """Stop requesting permits, and close the connections."""
         await self._tasks.stop()
         self.permit_client.stop()
 
     def note_answer(self, replica: Replica, terms: AnswerTerms) -> None:
-        """Take what an answer says of the replica that gave it."""
+        """Record the limit and backoff in a replica's answer."""
         name = replica.name
-        self._note_backoff(name, terms.backoff)
+        self._record_backoff(name, terms.backoff)
         if terms.limit is not None and math.isnan(terms.limit):
             self.log.record(catalogue.LIMIT_UNREADABLE, replica=name)
             return
         if terms.limit is None and not terms.signed:
-            # A refusal or a spoiled answer need not say all that holds.
+            # A refusal or an invalid answer may leave out a limit that holds.
             return
         reported = Heard(terms.limit, self.clock.monotonic())
         changed = self.limiter.hear(name, reported)
@@ -85,14 +87,15 @@
             self._tasks.spawn(self._announce_unlimited(name))
 
     def is_throttled(self, name: str) -> bool:
-        """Whether a replica said that it takes little, or nothing now."""
+        """Whether a replica has a rate limit or is in backoff."""
         now = self.clock.monotonic()
         return self.is_limited(name) or self._backoffs.find_left(name, now) > 0
 
     def find_wait(self, names: Iterable[str]) -> float:
-        """Tell in how many seconds the first of some replicas takes more.
+        """Return the seconds until one of some replicas accepts requests.
 
-        :returns: 0 if one of them does now, or if there is none.
+        :param names: names of the replicas' incarnations.
+        :returns: 0 if one of them accepts requests now, or if there is none.
         """
         now = self.clock.monotonic()
         waits = (
@@ -105,17 +108,20 @@
         return max(0, min(waits, default=0))
 
     def is_limited(self, name: str) -> bool:
-        """Whether a replica has a limit, by the name of its life."""
+        """Whether a replica has a rate limit.
+
+        :param name: name of the replica's incarnation.
+        """
         return self.limiter.limits.find_limit(name) is not None
 
     def count_limited(self) -> int:
-        """Count the replicas that have a limit."""
+        """Count the replicas that have a rate limit."""
         return len(self.limiter.limits.list_limited())
 
     def list_closed(self) -> frozenset[str]:
-        """Name the replicas that get no request of this node now.
+        """List the names of the replicas that this node sends no requests to.
 
-        They want none, or there was no permit a moment ago.
+        They are in backoff, or a permit for them was denied a moment ago.
         """
         now = self.clock.monotonic()
         self._denied_until = {
@@ -126,9 +132,9 @@
         return frozenset(self._denied_until) | self._backoffs.list_names(now)
 
     async def take(self, replica: Replica) -> bool:
-        """Take leave to send one request to a replica.
+        """Acquire a permit to send one request to a replica, if one is needed.
 
-        :returns: whether it may be sent.
+        :returns: whether the request may be sent.
         """
         name = replica.name
         if self._backoffs.find_left(name, self.clock.monotonic()):
@@ -142,15 +148,18 @@
         if not reply.granted:
             wait = min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, reply.wait))
             self._denied_until[name] = now + wait
-        # It may have turned this node away while the permit was on its way.
+        # A backoff may have begun while this node waited for the permit.
         return reply.granted and not self._backoffs.find_left(name, now)
 
     def keep(self, names: Container[str]) -> None:
-        """Forget the limits of replicas that have been gone for long."""
+        """Drop the limits of replicas that have been gone for a long time.
+
+        :param names: names of the incarnations that are still listed.
+        """
         self.limiter.limits.keep(names, self.clock.monotonic())
         self.limiter.forget_idle()
 
-    def _note_backoff(self, name: str, seconds: float | None) -> None:
+    def _record_backoff(self, name: str, seconds: float | None) -> None:
         if seconds is None:
             return
         if math.isnan(seconds):
@@ -162,9 +171,9 @@
             )
 
     async def _request_permit(self, name: str) -> PermitReply:
-        """Ask the nodes that grant the permits of a replica, in their order."""
+        """Request a permit from the limiters of a replica, in order."""
         if not self.news.nodes:
-            # Just started, and no list of the nodes has come yet.
+            # This node has just started and has no list of nodes yet.
             return self.limiter.handle_request(self.limiter.make_request(name))
         reachable = itertools.filterfalse(
             self.permit_client.is_cooling_down, self._list_limiters(name)
@@ -177,7 +186,10 @@
         return PermitReply(False, MAX_WAIT_SECONDS, None, 0)
 
     def _list_limiters(self, name: str) -> list[NodeEntry]:
-        """List the nodes to ask; ranking a large fleet takes a millisecond."""
+        """List a replica's limiters by rank.
+
+        The ranking is cached, as it takes 1 ms in a large fleet.
+        """
         if self._ranked_nodes is not self.news.nodes:
             self._ranked_nodes = self.news.nodes
             self._ranked.clear()
@@ -192,14 +204,14 @@
         request = self.limiter.make_request(name)
         if limiter.name == self.startup.name:
             return self.limiter.handle_request(request)
-        asked = self.clock.monotonic()
-        reply = await self.permit_client.ask(limiter, request)
+        sent = self.clock.monotonic()
+        reply = await self.permit_client.request_permit(limiter, request)
         if reply is not None:
-            self.limiter.hear(name, Heard(reply.limit, asked - reply.age))
+            self.limiter.hear(name, Heard(reply.limit, sent - reply.age))
         return reply
 
     async def _announce_unlimited(self, name: str) -> None:
-        """Tell the node that grants permits that a limit is over."""
+        """Notify the first limiter of a replica that its limit has ended."""
         for limiter in self._list_limiters(name)[:1]:
             await self._ask_limiter(limiter, name)
 
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -1,4 +1,4 @@
-"""Permits that nodes grant each other for a replica in need."""
+"""Permits that nodes grant each other for a replica with a rate limit."""
 
 import asyncio
 import math
@@ -33,8 +33,8 @@
     return asyncio.get_running_loop().time()
 
 
-async def _tell_all(fleet: ThrottledFleet) -> None:
-    """Let each node hear the limit once."""
+async def _report_limit(fleet: ThrottledFleet) -> None:
+    """Report the limit to each node once."""
     for throttle in fleet.nodes.values():
         throttle.note_answer(REPLICA, make_terms(fleet.limit))
 
@@ -42,13 +42,13 @@
 @pytest.mark.parametrize('limit', [0, 0.5, 1, 4.2, 40])
 @pytest.mark.parametrize('nodes', [1, 8, 60, 1400])
 def test_limit_holds_at_any_size(limit: float, nodes: int) -> None:
-    """The more nodes there are, the more a replica in need gets."""
+    """If each node applied the limit alone, it would grow with the fleet."""
 
     async def main() -> None:
         fleet = ThrottledFleet(limit)
         names = _name_nodes(nodes)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         await fleet.press(names, 12, gap=0.002)
         assert fleet.count_most(0, _SPAN) <= _allow(limit)
         assert len(fleet.sent) >= 0.6 * limit * 12
@@ -59,7 +59,7 @@
 
 
 def test_limit_holds_while_lists_of_nodes_differ() -> None:
-    """A node that has just come grants beside the one that granted before."""
+    """A new node grants permits while others still ask the earlier limiter."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
@@ -68,7 +68,7 @@
         first = _rank(names)[0]
         older = [name for name in names if name != first]
         fleet.know(older[:4], older)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         await fleet.press(names, 12, gap=0.005)
         assert fleet.count_most(0, _SPAN) <= _allow(4.2)
         await fleet.stop()
@@ -77,13 +77,16 @@
 
 
 def test_limit_holds_while_the_limiter_is_lost() -> None:
-    """Each node that finds the limiter gone grants for itself."""
+    """The limiter is lost, and all nodes have to agree on the next one.
+
+    If each node granted permits for itself, the limit would be exceeded.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         first = _rank(names)[0]
         living = [name for name in names if name != first]
         await fleet.press(names, 6, gap=0.005)
@@ -101,13 +104,17 @@
 
 
 def test_question_without_reply_is_short() -> None:
-    """Each request waits for nodes that are gone, and none finds the next."""
+    """The first two limiters of a replica do not reply.
+
+    If they were asked again by every request, each would wait for them, and
+    none would reach the third limiter.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         ranked = _rank(names)
         fleet.dark.update(ranked[:2])
         node = fleet.nodes[ranked[5]]
@@ -123,13 +130,17 @@
 
 
 def test_end_of_a_limit_is_soon_known_to_all() -> None:
-    """Nodes hold back from a replica that is well, each until it has tried."""
+    """A limit ends.
+
+    If the end were not shared, each node would hold back requests until it
+    learned of it from an answer of its own.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(1)
         names = _name_nodes(60)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         await fleet.press(names, 5, gap=0.01)
         fleet.limit = None
         await fleet.press(names, 3, gap=0.01)
@@ -145,7 +156,7 @@
 
 
 def test_late_word_of_a_limit_brings_it_not_back() -> None:
-    """A peer that heard of a limit before its end limits the others anew."""
+    """A peer that missed the end of a limit still reports the limit."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
@@ -168,7 +179,7 @@
 
 
 def test_nonsense_of_a_peer_limits_nothing() -> None:
-    """A peer out of its mind makes a node leave a sound replica."""
+    """An invalid limit from a peer must not limit a healthy replica."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
@@ -183,13 +194,17 @@
 
 
 def test_limiter_that_lists_no_replica_counts() -> None:
-    """A node that hears of a replica late grants anew each half second."""
+    """A limiter learns of a replica later than other nodes do.
+
+    If it dropped the token bucket of a replica that it does not list, it would
+    start with a new one and grant a permit every half second.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(0)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         limiter = fleet.nodes[_rank(names)[0]]
         for _ in range(24):
             await fleet.press(names, 0.5, gap=0.01)
@@ -201,7 +216,10 @@
 
 
 def test_refusal_without_a_word_ends_no_limit() -> None:
-    """A replica in need refuses one request, and all nodes send as before."""
+    """An unsigned refusal names no limit, although the replica has one.
+
+    If that ended the limit, all nodes would send requests as before.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
@@ -219,13 +237,17 @@
 
 
 def test_vms_gone_for_good_grant_nothing() -> None:
-    """The first two nodes that would grant were removed; nobody may send."""
+    """The VMs of the first two limiters were removed permanently.
+
+    They stay in the list of nodes. If they were asked each time, no node would
+    get a permit.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         gone = _rank(names)[:2]
         fleet.dark.update(gone)
         living = [name for name in names if name not in gone]
@@ -239,13 +261,16 @@
 
 
 def test_burst_at_one_node_blames_no_limiter() -> None:
-    """Those who wait for others' questions take the limiter for silent."""
+    """Requests wait for a connection to the limiter that others use.
+
+    If that wait counted, they would take the limiter for unresponsive.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         node = fleet.nodes[_rank(names)[3]]
         granted = await asyncio.gather(
             *(node.take(REPLICA) for _ in range(100))
@@ -258,7 +283,7 @@
 
 
 def test_limiters_differ_by_replica() -> None:
-    """One node is asked about all replicas in need."""
+    """If limiters did not differ, one node would grant all permits."""
     nodes = [NodeEntry(name, 'zone-a', f'{name}:1') for name in _name_nodes(8)]
     chosen = Counter(
         rank_limiters(f'b-{number}', nodes)[0].name for number in range(80)
