--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -61,7 +61,7 @@
 """
 
 _Pools: TypeAlias = tuple[tuple[ModelProfile, list[Replica]], ...]
-"""Models, each with the replicas of its service."""
+"""Models, each with the reachable replicas of its service."""
 
 
 @dataclass(frozen=True)
@@ -81,7 +81,7 @@
 
 @dataclass(eq=False)
 class PlacementDuty:
-    """Plans layer placement and commands replicas, while it holds the lease."""
+    """Plans layer placement; commands replicas while it holds the lease."""
 
     log: LineLog
     clock: Clock
@@ -172,7 +172,7 @@
         if table is None or not self._timing.is_settled(listed, now):
             return None
         pools = tuple(
-            (service.model, self._list_alive(service.name, now))
+            (service.model, self._list_reachable(service.name, now))
             for service in table.configuration.services.values()
             if service.model is not None
         )
@@ -189,11 +189,13 @@
     def _lacks_layers(self, pools: _Pools) -> bool:
         """Whether layers are missing; computed only when pools have changed."""
         if self._last_gap_check is None or self._last_gap_check[0] != pools:
-            missing = any(misses_layers(alive, model) for model, alive in pools)
+            missing = any(
+                misses_layers(reachable, model) for model, reachable in pools
+            )
             self._last_gap_check = (pools, missing)
         return self._last_gap_check[1]
 
-    def _list_alive(self, service: str, now: float) -> list[Replica]:
+    def _list_reachable(self, service: str, now: float) -> list[Replica]:
         return [
             self._commands.apply_pending(replica, now)
             for replica in self.replicas.list_alive(service)
@@ -233,8 +235,8 @@
         """Compute the commands that are due now."""
         moves = [
             move
-            for model, alive in state.pools
-            for move in plan_moves(alive, model, thorough=state.thorough)
+            for model, reachable in state.pools
+            for move in plan_moves(reachable, model, thorough=state.thorough)
             if move.replica.name not in state.pending
         ]
         if state.thorough and moves and self.lease.held:
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
@@ -295,7 +295,7 @@
             await asyncio.sleep(_RETRY_SECONDS)
 
     async def _sweep(self) -> None:
-        """Delete the records written by this node once they expire.
+        """Delete the outcomes recorded by this node once they expire.
 
         Records of a node that crashed stay; they only take up space in the
         store.
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
@@ -33,7 +33,7 @@
         'server',
     )
 )
-_REPLACED = frozenset(
+_ROUTER_HEADERS = frozenset(
     ('authorization', 'content-length', 'host', 'expect', 'accept-encoding')
 )
 
@@ -176,7 +176,7 @@
 
 
 def clean_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Remove hop-by-hop headers and the headers that the router sets.
+    """Remove hop-by-hop headers and those that only concern the router.
 
     A client's ``Transfer-Encoding`` or ``Connection`` header, if forwarded,
     could make the upstream parse two requests where the router saw one (request
@@ -190,7 +190,7 @@
         if name == 'connection'
         for token in text.split(',')
     }
-    dropped = _HOP_BY_HOP | _REPLACED | named
+    dropped = _HOP_BY_HOP | _ROUTER_HEADERS | named
     return tuple(
         (name, text)
         for name, text in pairs
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -39,7 +39,7 @@
         return True
 
     def handle_request(self, request: PermitQuestion) -> PermitReply:
-        """Grant a permit to a node that requests one, if there is one."""
+        """Grant a permit to a node that requests one, if one is available."""
         name, now = request.replica, self.clock.monotonic()
         self.hear(name, Heard(request.limit, now - request.age))
         reported = self.limits.find(name)
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -25,12 +25,12 @@
 """
 
 COOLDOWN_SECONDS = 2.0
-"""Time without another request to a node that did not reply."""
+"""Cooldown: time without another request to a node that did not reply."""
 
 MAX_COOLDOWN_SECONDS = 64.0
-"""Maximum of this time, which doubles at each failure.
+"""Maximum of the cooldown, which doubles with each request left unanswered.
 
-The VM may have been removed permanently.
+The VM of the node may have been removed permanently.
 """
 
 
@@ -88,7 +88,7 @@
                 self._begin_cooldown(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
-                # A late reply would be taken for that to the next request.
+                # A late reply would be read as the one to the next request.
                 self._drop(limiter.address)
                 raise
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -1,4 +1,4 @@
-"""Limits requests to replicas as they demand it in their answers."""
+"""Applies the rate limits and backoffs that replicas report in answers."""
 
 import itertools
 import math
@@ -30,7 +30,10 @@
 """Minimum time without requests to a replica after a denied permit."""
 
 MAX_WAIT_SECONDS = 1.0
-"""Maximum of this time, as other nodes may leave permits unused."""
+"""Maximum time without requests to a replica after a denied permit.
+
+Other nodes may leave permits unused in the meantime.
+"""
 
 
 @dataclass(eq=False)
