--- a/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
@@ -201,7 +201,7 @@
     def _refuse(self, shed: Shed) -> Failure:
         # Without jitter, clients that are refused together would retry
         # together.
-        spread = 1 + JITTER_FACTOR * self._app.chance.random()
+        spread = 1 + JITTER_FACTOR * self._app.random_source.random()
         return Failure(
             HTTPStatus.TOO_MANY_REQUESTS,
             shed.reason,
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -11,7 +11,7 @@
     Receipt,
     Step,
     StepKey,
-    cut_prompt,
+    split_prompt,
     matches_step,
 )
 from ryelatch_node.upstreams import EngineLink
@@ -110,7 +110,7 @@
             link.streams += 1
         self._open_steps = {}
         self._history = (*self.prompt, *self.tokens)
-        self._chunks = cut_prompt(len(self._history), CHUNK)
+        self._chunks = split_prompt(len(self._history), CHUNK)
         self._send_chunk()
 
     async def read(self) -> list[int]:
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -9,13 +9,13 @@
 from ryelatch_core.outcomes import Failure, Outcome
 from ryelatch_core.pipeline import (
     Chain,
-    Offer,
-    Pace,
+    Candidate,
+    LatencyTracker,
     check_chain,
     choose_chain,
     estimate_cost,
-    find_usual,
-    offer_engine,
+    find_typical_latency,
+    make_candidate,
 )
 from ryelatch_core.retries import RetryBudget
 from ryelatch_core.settings import Model, Startup
@@ -109,7 +109,7 @@
         Without a step sent, no engine ran anything, for certain. Callers cut
         off together would come back together; the jitter spreads them.
         """
-        spread = _JITTER_SECONDS * self._app.chance.random()
+        spread = _JITTER_SECONDS * self._app.random_source.random()
         return Failure(
             HTTPStatus.SERVICE_UNAVAILABLE,
             code,
@@ -208,7 +208,7 @@
         )
         return chosen.unwrap() if checked.is_ok() else None
 
-    def _offer(self, link: EngineLink, usual: float, now: float) -> Offer:
+    def _offer(self, link: EngineLink, usual: float, now: float) -> Candidate:
         """Say what a step would cost on an engine.
 
         Activations pass through this node, so what counts is how far each
@@ -221,7 +221,7 @@
             link.pace, usual, link.streams, link.waiting, hello.rate, now
         )
         far = 0 if link.vm.zone == self._zone else _HOP_SECONDS
-        return offer_engine(hello, link.vm.zone, cost + far)
+        return make_candidate(hello, link.vm.zone, cost + far)
 
     async def _watch_pace(self) -> None:
         """Move answers off engines that have become slow, a few at a time.
@@ -270,11 +270,11 @@
     now: float,
 ) -> dict[tuple[int, int], float]:
     """Find the usual latency for each range of layers."""
-    by_range: dict[tuple[int, int], list[Pace]] = {}
+    by_range: dict[tuple[int, int], list[LatencyTracker]] = {}
     for link in links:
         by_range.setdefault(_range_of(link), []).append(link.pace)
     return {
-        layers: find_usual(paces, now) for layers, paces in by_range.items()
+        layers: find_typical_latency(paces, now) for layers, paces in by_range.items()
     }
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -7,9 +7,9 @@
 from ryelatch_core.events import Timeline, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import (
-    ORDER_SECONDS,
+    COMMAND_TIMEOUT_SECONDS,
     Lease,
-    may_order,
+    may_send_command,
     release_lease,
     take_lease,
 )
@@ -107,12 +107,12 @@
                 catalogue.LEASE_LOST, duty=task, reason='released'
             )
 
-    def may_order(self, task: str) -> bool:
+    def may_send_command(self, task: str) -> bool:
         """Return whether a command may be sent under a lease now."""
         held = self.held.get(task)
         if held is None:
             return False
-        return may_order(held.renewed, held.taken, self._clock.monotonic())
+        return may_send_command(held.renewed, held.taken, self._clock.monotonic())
 
     def _measure_unchanged(
         self, task: str, entry: Entry | None, now: float
@@ -143,7 +143,7 @@
         # Only a holder whose lease expired may have a command in progress; one
         # that released the lease has waited for its commands to finish.
         expired = entry is not None and not _decode(entry).released
-        taken = self._clock.monotonic() if expired else started - ORDER_SECONDS
+        taken = self._clock.monotonic() if expired else started - COMMAND_TIMEOUT_SECONDS
         self.held[task] = HeldLease(
             new_lease, written.unwrap().version, started, taken
         )
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -8,7 +8,7 @@
 
 from ryelatch_core.events import Timeline, catalogue
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_core.membership import ORDER_SECONDS
+from ryelatch_core.membership import COMMAND_TIMEOUT_SECONDS
 from ryelatch_core.pipeline import Holding, Move, plan_repair
 from ryelatch_core.settings import Model, Startup
 from ryelatch_node.config import SettingsHolder
@@ -76,7 +76,7 @@
             return
         if not await self._leases.take(task):
             return
-        if self._leases.may_order(task):
+        if self._leases.may_send_command(task):
             await self._send_command(task, name, model, move)
 
     def _plan(self, name: str, model: Model) -> Move | None:
@@ -158,7 +158,7 @@
             async with self._session.post(
                 f'http://{link.vm.address}/v1/orders',
                 json=command,
-                timeout=aiohttp.ClientTimeout(ORDER_SECONDS),
+                timeout=aiohttp.ClientTimeout(COMMAND_TIMEOUT_SECONDS),
             ) as response:
                 return response.status
         except (aiohttp.ClientError, TimeoutError):
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import CostBook, LineLog, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
     Replica,
-    misses_layers,
+    lacks_layers,
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
@@ -70,13 +70,13 @@
 
     :param missing: whether a pool has a layer that no replica holds.
     :param pending: names of replicas with a command in progress.
-    :param thorough: whether all layers of a pool may be assigned anew.
+    :param allow_relayout: whether all layers of a pool may be assigned anew.
     """
 
     pools: _Pools
     missing: bool
     pending: frozenset[str]
-    thorough: bool
+    allow_relayout: bool
 
 
 @dataclass(eq=False)
@@ -89,7 +89,7 @@
     replicas: ReplicaView
     orders: Orders
     lease: LeaseKeeper
-    usage: CostBook = field(default_factory=CostBook)
+    usage: UsageTracker = field(default_factory=UsageTracker)
     _planned: _PlanInput | None = None
     _last_gap_check: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
@@ -144,7 +144,7 @@
     async def _reconcile(self) -> None:
         await self._commands.check_overdue()
         now = self.clock.monotonic()
-        with self.usage.spend('look for gaps'):
+        with self.usage.measure_time('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
         self._timing.record_need(now, needed=needed)
@@ -153,7 +153,7 @@
         need_since = self._compute_need_since(state)
         if not await self._acquire_turn(state, now, need_since):
             return
-        with self.usage.spend('plan'):
+        with self.usage.measure_time('plan'):
             moves = self._plan(state, now)
         # An empty plan stays valid until its input changes. When plans were
         # computed again at each tick, they took more than half of a node's CPU
@@ -182,7 +182,7 @@
             pools=pools,
             missing=missing,
             pending=self._commands.pending_names,
-            thorough=self._timing.may_relayout(now)
+            allow_relayout=self._timing.may_relayout(now)
             and not self._commands.pending_names,
         )
 
@@ -190,7 +190,7 @@
         """Whether layers are missing; computed only when pools have changed."""
         if self._last_gap_check is None or self._last_gap_check[0] != pools:
             missing = any(
-                misses_layers(reachable, model) for model, reachable in pools
+                lacks_layers(reachable, model) for model, reachable in pools
             )
             self._last_gap_check = (pools, missing)
         return self._last_gap_check[1]
@@ -198,7 +198,7 @@
     def _list_reachable(self, service: str, now: float) -> list[Replica]:
         return [
             self._commands.apply_pending(replica, now)
-            for replica in self.replicas.list_alive(service)
+            for replica in self.replicas.list_reachable(service)
         ]
 
     def _compute_need_since(self, state: _PlanInput) -> float:
@@ -236,10 +236,10 @@
         moves = [
             move
             for model, reachable in state.pools
-            for move in plan_moves(reachable, model, thorough=state.thorough)
+            for move in plan_moves(reachable, model, allow_relayout=state.allow_relayout)
             if move.replica.name not in state.pending
         ]
-        if state.thorough and moves and self.lease.held:
+        if state.allow_relayout and moves and self.lease.held:
             self._timing.record_relayout(now)
         return moves
 
@@ -261,12 +261,12 @@
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        usage=app.find('costs', CostBook),
+        usage=app.find('costs', UsageTracker),
         lease=LeaseKeeper(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            base_jitter=app.chance.uniform(0, BASE_JITTER_SECONDS),
+            base_jitter=app.random_source.uniform(0, BASE_JITTER_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
@@ -204,7 +204,7 @@
 
 async def _forward(app: App, target: _Target) -> Answer:
     upstreams = app.find('upstreams', Upstreams).list_plain(target.service.role)
-    app.chance.shuffle(upstreams)
+    app.random_source.shuffle(upstreams)
     sent = await app.find('forwarder', Forwarder).forward(
         target.call, target.service, upstreams
     )
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine import Step, StoredCase
+from ryelatch_core.quarantine import StoreWrite, StoredCrashes
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     """
 
     answered: bool
-    stored: StoredCase | None = None
+    stored: StoredCrashes | None = None
 
 
 @dataclass(frozen=True)
@@ -27,5 +27,5 @@
     Whoever follows the store tells of each change, this node's included.
     """
 
-    carry_out: Callable[[Step], Awaitable[StepResult]]
+    carry_out: Callable[[StoreWrite], Awaitable[StepResult]]
     """Make the store hold, or delete, what the step says."""
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -7,7 +7,7 @@
 
 from ryelatch_core.events import LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_core.quarantine import Book, Case, Manner, Step, StoredCase
+from ryelatch_core.quarantine import CrashTracker, Crashes, RequestPhase, StoreWrite, StoredCrashes
 from ryelatch_node.ports import QuarantineStore
 
 TICK_SECONDS = 0.1
@@ -40,7 +40,7 @@
     log: LineLog
     clock: Clock
     store: QuarantineStore
-    tracker: Book
+    tracker: CrashTracker
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
     _logged: frozenset[str] = frozenset()
@@ -55,7 +55,7 @@
         """Stop writing to the store."""
         await cancel_task(self._task)
 
-    def find_refused(self, digest: str) -> Case | None:
+    def find_refused(self, digest: str) -> Crashes | None:
         """Find the crashes a request is refused for; nothing if it is not."""
         return self.tracker.find_refused(digest)
 
@@ -71,11 +71,11 @@
         """Count the requests under which replicas crashed, refused or not."""
         return len(self.tracker)
 
-    def note_end(
+    def record_crash(
         self,
         digest: str,
         incarnation: str,
-        phase: Manner,
+        phase: RequestPhase,
         request: str,
     ) -> None:
         """Record that a replica crashed while it held a request.
@@ -86,7 +86,7 @@
         :param request: ID of the attempt, for the log.
         """
         now = self.clock.monotonic()
-        if self.tracker.note_end(digest, incarnation, phase, now):
+        if self.tracker.record_crash(digest, incarnation, phase, now):
             self.log.record(
                 catalogue.REQUEST_SUSPECTED,
                 request=request,
@@ -96,12 +96,12 @@
             )
             self._on_change()
 
-    def note_run(self, digest: str) -> None:
+    def record_run(self, digest: str) -> None:
         """Record that a request has run and its replica has not crashed."""
-        if self.tracker.note_run(digest, self.clock.monotonic()):
+        if self.tracker.record_run(digest, self.clock.monotonic()):
             self._on_change()
 
-    def put(self, stored: StoredCase) -> None:
+    def put(self, stored: StoredCrashes) -> None:
         """Apply the stored crashes of a request."""
         self.tracker.put(stored, self.clock.monotonic())
         self._on_change()
@@ -111,14 +111,14 @@
         self.tracker.remove(digest, self.clock.monotonic())
         self._on_change()
 
-    def replace(self, listed: Iterable[StoredCase]) -> None:
+    def replace(self, listed: Iterable[StoredCrashes]) -> None:
         """Apply a complete list of the store's contents."""
         self.tracker.replace(listed, self.clock.monotonic())
         self._on_change()
 
-    def judge(self) -> None:
+    def evaluate(self) -> None:
         """Re-evaluate which requests are refused, as crashes expire."""
-        self.tracker.judge(self.clock.monotonic())
+        self.tracker.evaluate(self.clock.monotonic())
         self._log_changes()
 
     def _on_change(self) -> None:
@@ -130,12 +130,12 @@
         """Log which requests are newly refused, and which no longer are."""
         refused = self.tracker.refused
         for digest in refused.keys() - self._logged:
-            case = refused[digest]
+            crashes = refused[digest]
             self.log.record(
                 catalogue.REQUEST_QUARANTINED,
                 digest=digest,
-                begun=sorted(case.begun),
-                waiting=sorted(case.waiting),
+                begun=sorted(crashes.begun),
+                waiting=sorted(crashes.waiting),
             )
         for digest in self._logged - refused.keys():
             self.log.record(catalogue.REQUEST_RELEASED, digest=digest)
@@ -144,7 +144,7 @@
     async def _run(self) -> None:
         pause = _FIRST_RETRY_SECONDS
         while True:
-            writes = self.tracker.list_due(self.clock.monotonic())
+            writes = self.tracker.list_due_writes(self.clock.monotonic())
             if await self._perform(writes[:MAX_WRITES]):
                 pause = _FIRST_RETRY_SECONDS
                 await self._wait()
@@ -154,7 +154,7 @@
                 await asyncio.sleep(pause)
                 pause = min(_MAX_RETRY_SECONDS, pause * 2)
 
-    async def _perform(self, writes: list[Step]) -> bool:
+    async def _perform(self, writes: list[StoreWrite]) -> bool:
         for write in writes:
             found = await self.store.carry_out(write)
             if not found.answered:
@@ -168,7 +168,7 @@
     async def _wait(self) -> None:
         """Wait until writes may be due, without a check at every change."""
         await asyncio.sleep(TICK_SECONDS)
-        if self.tracker.has_news(self.clock.monotonic()):
+        if self.tracker.has_pending_writes(self.clock.monotonic()):
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(IDLE_SECONDS):
@@ -182,7 +182,7 @@
         app.find('log', LineLog),
         app.clock,
         app.find('quarantine-store', QuarantineStore),
-        Book(app.chance.random()),
+        CrashTracker(app.random_source.random()),
     )
     app.add(
         Service(
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -4,8 +4,8 @@
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.throttle import Heard, LimitBook, TokenBucket
-from ryelatch_node.news import PermitQuestion, PermitReply
+from ryelatch_core.throttle import ReportedLimit, LimitTracker, TokenBucket
+from ryelatch_node.news import PermitRequest, PermitReply
 
 
 @dataclass(eq=False)
@@ -18,17 +18,17 @@
 
     log: LineLog
     clock: Clock
-    limits: LimitBook = field(default_factory=LimitBook)
+    limits: LimitTracker = field(default_factory=LimitTracker)
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
-    def hear(self, name: str, reported: Heard) -> bool:
+    def record_limit(self, name: str, reported: ReportedLimit) -> bool:
         """Record a limit that a replica reported to any node.
 
         :param name: name of the replica's incarnation.
         :returns: whether the replica now has a limit and had none, or the
             reverse.
         """
-        if not self.limits.hear(name, reported):
+        if not self.limits.record_limit(name, reported):
             return False
         if reported.limit is None:
             self.log.record(catalogue.REPLICA_UNLIMITED, replica=name)
@@ -38,10 +38,10 @@
             )
         return True
 
-    def handle_request(self, request: PermitQuestion) -> PermitReply:
+    def handle_request(self, request: PermitRequest) -> PermitReply:
         """Grant a permit to a node that requests one, if one is available."""
         name, now = request.replica, self.clock.monotonic()
-        self.hear(name, Heard(request.limit, now - request.age))
+        self.record_limit(name, ReportedLimit(request.limit, now - request.age))
         reported = self.limits.find(name)
         if reported is None or reported.limit is None:
             self._buckets.pop(name, None)
@@ -57,13 +57,13 @@
             granted, wait, reported.limit, max(0, now - reported.at)
         )
 
-    def make_request(self, name: str) -> PermitQuestion:
+    def make_request(self, name: str) -> PermitRequest:
         """Build a request for a permit, with this node's view of the limit."""
         reported = self.limits.find(name)
         now = self.clock.monotonic()
         if reported is None:
-            return PermitQuestion(name, None, 0)
-        return PermitQuestion(name, reported.limit, max(0, now - reported.at))
+            return PermitRequest(name, None, 0)
+        return PermitRequest(name, reported.limit, max(0, now - reported.at))
 
     def forget_idle(self) -> None:
         """Drop the token buckets of replicas for which no permit is requested.
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -10,12 +10,12 @@
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news import (
-    FAILURES,
-    Line,
-    News,
-    PermitQuestion,
+    REQUEST_ERRORS,
+    PeerConnection,
+    PeerSync,
+    PermitRequest,
     PermitReply,
-    open_line,
+    connect_to_peer,
 )
 
 PERMIT_TIMEOUT_SECONDS = 0.1
@@ -52,8 +52,8 @@
 
     log: LineLog
     clock: Clock
-    news: News
-    _connections: dict[str, Line] = field(default_factory=dict)
+    peer_sync: PeerSync
+    _connections: dict[str, PeerConnection] = field(default_factory=dict)
     _locks: dict[str, asyncio.Lock] = field(
         default_factory=lambda: defaultdict(asyncio.Lock)
     )
@@ -72,7 +72,7 @@
     async def request_permit(
         self,
         limiter: NodeEntry,
-        request: PermitQuestion,
+        request: PermitRequest,
     ) -> PermitReply | None:
         """Request a permit from a node.
 
@@ -84,7 +84,7 @@
                 return None
             try:
                 return await self._exchange(limiter.address, request)
-            except FAILURES as error:
+            except REQUEST_ERRORS as error:
                 self._begin_cooldown(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
@@ -95,12 +95,12 @@
     async def _exchange(
         self,
         address: str,
-        request: PermitQuestion,
+        request: PermitRequest,
     ) -> PermitReply:
         async with asyncio.timeout(PERMIT_TIMEOUT_SECONDS):
             connection = self._connections.get(address)
             if connection is None:
-                connection = await open_line(self.news.dial, address)
+                connection = await connect_to_peer(self.peer_sync.dial, address)
                 self._connections[address] = connection
             body = await connection.ask(request)
         reply = msgspec.msgpack.decode(body, type=PermitReply)
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -5,12 +5,12 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from ryelatch_core.events import CostBook, LineLog, catalogue
+from ryelatch_core.events import UsageTracker, LineLog, catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
-from ryelatch_core.throttle import BackoffBook, Heard, rank_limiters
-from ryelatch_node.news import News, PermitReply
+from ryelatch_core.throttle import BackoffTracker, ReportedLimit, rank_limiters
+from ryelatch_node.news import PeerSync, PermitReply
 from ryelatch_node.ports import AnswerTerms, RelayStartup
 from ryelatch_node.tasks import Tasks
 from ryelatch_node.throttle._limiter import Limiter
@@ -53,11 +53,11 @@
     log: LineLog
     clock: Clock
     startup: RelayStartup
-    news: News
+    peer_sync: PeerSync
     permit_client: PermitLines
-    usage: CostBook = field(default_factory=CostBook)
+    usage: UsageTracker = field(default_factory=UsageTracker)
     limiter: Limiter = field(init=False)
-    _backoffs: BackoffBook = field(default_factory=BackoffBook)
+    _backoffs: BackoffTracker = field(default_factory=BackoffTracker)
     _denied_until: dict[str, float] = field(default_factory=dict)
     _ranked: dict[str, list[NodeEntry]] = field(default_factory=dict)
     _ranked_nodes: tuple[NodeEntry, ...] = ()
@@ -67,7 +67,7 @@
         """Create the limiter and register it to serve other nodes."""
         self._tasks = Tasks(self.log, 'throttle')
         self.limiter = Limiter(self.log, self.clock)
-        self.news.server.answer_permit = self.limiter.handle_request
+        self.peer_sync.server.handle_permit_request = self.limiter.handle_request
 
     async def stop(self) -> None:
         """Stop requesting permits, and close the connections."""
@@ -84,8 +84,8 @@
         if terms.limit is None and not terms.signed:
             # A refusal or an invalid answer may leave out a limit that holds.
             return
-        reported = Heard(terms.limit, self.clock.monotonic())
-        changed = self.limiter.hear(name, reported)
+        reported = ReportedLimit(terms.limit, self.clock.monotonic())
+        changed = self.limiter.record_limit(name, reported)
         if changed and terms.limit is None:
             self._tasks.spawn(self._announce_unlimited(name))
 
@@ -175,7 +175,7 @@
 
     async def _request_permit(self, name: str) -> PermitReply:
         """Request a permit from the limiters of a replica, in order."""
-        if not self.news.nodes:
+        if not self.peer_sync.nodes:
             # This node has just started and has no list of nodes yet.
             return self.limiter.handle_request(self.limiter.make_request(name))
         reachable = itertools.filterfalse(
@@ -193,8 +193,8 @@
 
         The ranking is cached, as it takes 1 ms in a large fleet.
         """
-        if self._ranked_nodes is not self.news.nodes:
-            self._ranked_nodes = self.news.nodes
+        if self._ranked_nodes is not self.peer_sync.nodes:
+            self._ranked_nodes = self.peer_sync.nodes
             self._ranked.clear()
         if name not in self._ranked:
             ranked = rank_limiters(name, self._ranked_nodes)
@@ -210,7 +210,7 @@
         sent = self.clock.monotonic()
         reply = await self.permit_client.request_permit(limiter, request)
         if reply is not None:
-            self.limiter.hear(name, Heard(reply.limit, sent - reply.age))
+            self.limiter.record_limit(name, ReportedLimit(reply.limit, sent - reply.age))
         return reply
 
     async def _announce_unlimited(self, name: str) -> None:
@@ -222,13 +222,13 @@
 def setup(app: App) -> None:
     """Add the service ``throttle``."""
     log = app.find('log', LineLog)
-    news = app.find('news', News)
+    peer_sync = app.find('news', PeerSync)
     throttle = Throttle(
         log,
         app.clock,
         app.find('startup', RelayStartup),
-        news,
-        PermitLines(log, app.clock, news),
-        app.find('costs', CostBook),
+        peer_sync,
+        PermitLines(log, app.clock, peer_sync),
+        app.find('costs', UsageTracker),
     )
     app.add(Service('throttle', throttle, ('news',), stop=throttle.stop))
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/_link.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/_link.py
@@ -18,7 +18,7 @@
     Frame,
     FrameError,
     Hello,
-    Pace,
+    LatencyTracker,
     Ping,
     Pong,
     Receipt,
@@ -83,7 +83,7 @@
         self.waiting = 0.0
         self.in_flight = 0
         self.streams = 0
-        self.pace = Pace()
+        self.pace = LatencyTracker()
         self._on_change = on_change
         self._on_stray = on_stray
         self._pending: dict[StepKey, _Pending] = {}
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -12,7 +12,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica
 from ryelatch_core.kernel import BootClock, Hub
-from ryelatch_core.membership import NEVER, Lease, reckon_terms
+from ryelatch_core.membership import NEVER, Lease, compute_departure_bounds
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.duty import LeaseKeeper, PlacementDuty
 from ryelatch_node.ports import (
@@ -63,7 +63,7 @@
         configuration = ConfigurationView(log, clock, 5)
         raw = _encode(make_configuration())
         configuration.offer(translate_configuration(raw), clock.monotonic())
-        view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+        view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
         orders = Orders(
             place=self._make_place(name),
             move=_refuse,
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -8,7 +8,7 @@
 
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import rank_limiters
-from ryelatch_node.news import PermitQuestion
+from ryelatch_node.news import PermitRequest
 from ryelatch_node.throttle._lines import PERMIT_TIMEOUT_SECONDS
 from virtual.loop import run
 from virtual.throttles import REPLICA, ThrottledFleet, make_terms
@@ -67,7 +67,7 @@
         fleet.start(names)
         first = _rank(names)[0]
         older = [name for name in names if name != first]
-        fleet.know(older[:4], older)
+        fleet.update_nodes(older[:4], older)
         await _report_limit(fleet)
         await fleet.press(names, 12, gap=0.005)
         assert fleet.count_most(0, _SPAN) <= _allow(4.2)
@@ -168,7 +168,7 @@
         limiter.note_answer(REPLICA, make_terms(None))
         await asyncio.sleep(1)
         reply = limiter.limiter.handle_request(
-            PermitQuestion(REPLICA.name, 4.2, 1.5)
+            PermitRequest(REPLICA.name, 4.2, 1.5)
         )
         assert reply.granted
         assert reply.limit is None
@@ -185,8 +185,8 @@
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.limiter.handle_request(PermitQuestion(REPLICA.name, math.nan, 0))
-        node.limiter.handle_request(PermitQuestion(REPLICA.name, math.inf, 0))
+        node.limiter.handle_request(PermitRequest(REPLICA.name, math.nan, 0))
+        node.limiter.handle_request(PermitRequest(REPLICA.name, math.inf, 0))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
