--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -1,4 +1,4 @@
-"""Leases in the store."""
+"""Leases on tasks, as records in the store."""
 
 from dataclasses import dataclass
 
@@ -17,12 +17,14 @@
 
 
 @dataclass(frozen=True)
-class Held:
-    """A lease that this node believes to hold.
-
-    :param renewed: monotonic seconds before the last write of it was begun.
-    :param taken: monotonic seconds from which orders of an earlier holder
-        could be under way.
+class HeldLease:
+    """A lease that this node holds according to its view.
+
+    :param version: of the record in the store, for conditional writes.
+    :param renewed: when the last successful write was started, in monotonic
+        seconds.
+    :param taken: monotonic seconds after which the previous holder can't have
+        sent a command; one sent before may still be in progress.
     """
 
     lease: Lease
@@ -32,15 +34,22 @@
 
 
 @dataclass(frozen=True)
-class _Sighting:
-    """A version of another's lease and since when it has stood."""
+class _ObservedVersion:
+    """The last version of another node's lease that this node has read.
+
+    :param since: when it was first read, in monotonic seconds.
+    """
 
     version: str
     since: float
 
 
 class LeaseKeeper:
-    """Takes, proves, renews and gives back leases."""
+    """Takes, renews and releases leases.
+
+    :param name: name of this node, as the holder of its leases.
+    :ivar held: the leases that this node holds, by task.
+    """
 
     def __init__(
         self,
@@ -49,107 +58,107 @@
         clock: Clock,
         name: str,
     ) -> None:
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, HeldLease] = {}
         self._store = store
         self._timeline = timeline
         self._clock = clock
         self._name = name
-        self._seen: dict[str, _Sighting] = {}
-
-    async def take(self, duty: str) -> bool:
-        """Take a lease if nobody holds it; tell whether it is held now."""
-        if duty in self.held:
-            return await self.renew(duty)
-        begun = self._clock.monotonic()
-        found = await self._store.get(_key(duty))
+        self._observed: dict[str, _ObservedVersion] = {}
+
+    async def take(self, task: str) -> bool:
+        """Take or renew a lease; return whether this node holds it now."""
+        if task in self.held:
+            return await self.renew(task)
+        started = self._clock.monotonic()
+        found = await self._store.get(_key(task))
         entry = found.ok()
         if entry is None and found.unwrap_err().value != 'missing':
             return False
-        known = _decode(entry) if entry else None
-        wanted = take_lease(known, self._name, self._note(duty, entry, begun))
-        if wanted is None:
+        current = _decode(entry) if entry else None
+        new_lease = take_lease(
+            current, self._name, self._measure_unchanged(task, entry, started)
+        )
+        if new_lease is None:
             return False
-        return await self._write(duty, wanted, entry, begun)
+        return await self._write(task, new_lease, entry, started)
 
-    async def renew(self, duty: str) -> bool:
-        """Renew a lease, which also proves that nobody else has taken it."""
-        held = self.held[duty]
-        begun = self._clock.monotonic()
+    async def renew(self, task: str) -> bool:
+        """Renew a lease, which also proves that no other node has taken it."""
+        held = self.held[task]
+        started = self._clock.monotonic()
         written = await self._store.update(
-            _key(duty), _encode(held.lease), held.version
+            _key(task), _encode(held.lease), held.version
         )
         if written.is_err():
-            self._lose(duty, written.unwrap_err().value)
+            self._drop(task, written.unwrap_err().value)
             return False
-        self.held[duty] = Held(
-            held.lease, written.unwrap().version, begun, held.taken
+        self.held[task] = HeldLease(
+            held.lease, written.unwrap().version, started, held.taken
         )
         return True
 
-    async def release(self, duty: str) -> None:
-        """Give a lease back."""
-        held = self.held.pop(duty, None)
+    async def release(self, task: str) -> None:
+        """Release a lease if this node holds it."""
+        held = self.held.pop(task, None)
         if held is not None:
             body = _encode(release_lease(held.lease))
-            await self._store.update(_key(duty), body, held.version)
+            await self._store.update(_key(task), body, held.version)
             self._timeline.record(
-                catalogue.LEASE_LOST, duty=duty, reason='released'
+                catalogue.LEASE_LOST, duty=task, reason='released'
             )
 
-    def may_send_command(self, duty: str) -> bool:
-        """Tell whether an order may be sent under a lease by now."""
-        held = self.held.get(duty)
+    def may_send_command(self, task: str) -> bool:
+        """Return whether a command may be sent under a lease now."""
+        held = self.held.get(task)
         if held is None:
             return False
-        return may_send_command(
-            held.renewed, held.taken, self._clock.monotonic()
-        )
+        return may_send_command(held.renewed, held.taken, self._clock.monotonic())
 
-    def _note(self, duty: str, entry: Entry | None, now: float) -> float:
-        """Note the version of a lease; seconds since it was first seen."""
+    def _measure_unchanged(
+        self, task: str, entry: Entry | None, now: float
+    ) -> float:
+        """Compute the seconds for which this node saw a lease unchanged."""
         if entry is None:
             return 0
-        seen = self._seen.get(duty)
-        if seen is None or seen.version != entry.version:
-            seen = _Sighting(entry.version, now)
-            self._seen[duty] = seen
-        return now - seen.since
+        observed = self._observed.get(task)
+        if observed is None or observed.version != entry.version:
+            observed = _ObservedVersion(entry.version, now)
+            self._observed[task] = observed
+        return now - observed.since
 
     async def _write(
         self,
-        duty: str,
-        wanted: Lease,
+        task: str,
+        new_lease: Lease,
         entry: Entry | None,
-        begun: float,
+        started: float,
     ) -> bool:
-        body = _encode(wanted)
+        body = _encode(new_lease)
         if entry is None:
-            written = await self._store.create(_key(duty), body)
+            written = await self._store.create(_key(task), body)
         else:
-            written = await self._store.update(_key(duty), body, entry.version)
+            written = await self._store.update(_key(task), body, entry.version)
         if written.is_err():
             return False
-        # Only a holder that lapsed may have an order under way; one that gave
-        # the lease back has waited for its own.
-        lapsed = entry is not None and not _decode(entry).released
-        taken = (
-            self._clock.monotonic()
-            if lapsed
-            else begun - COMMAND_TIMEOUT_SECONDS
+        # Only a holder whose lease expired may have a command in progress; one
+        # that released the lease has waited for its commands to finish.
+        expired = entry is not None and not _decode(entry).released
+        taken = self._clock.monotonic() if expired else started - COMMAND_TIMEOUT_SECONDS
+        self.held[task] = HeldLease(
+            new_lease, written.unwrap().version, started, taken
         )
-        self.held[duty] = Held(wanted, written.unwrap().version, begun, taken)
         self._timeline.record(
-            catalogue.LEASE_TAKEN, duty=duty, fence=wanted.fence
+            catalogue.LEASE_TAKEN, duty=task, fence=new_lease.fence
         )
         return True
 
-    def _lose(self, duty: str, reason: str) -> None:
-        del self.held[duty]
-        self._timeline.record(catalogue.LEASE_LOST, duty=duty, reason=reason)
+    def _drop(self, task: str, reason: str) -> None:
+        del self.held[task]
+        self._timeline.record(catalogue.LEASE_LOST, duty=task, reason=reason)
 
 
-def _key(duty: str) -> str:
-    return f'leases/{duty}'
+def _key(task: str) -> str:
+    return f'leases/{task}'
 
 
 def _encode(lease: Lease) -> bytes:
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -1,11 +1,14 @@
-"""Keeps every layer held, under a lease with fencing numbers."""
+"""Places layers on replicas so that every layer of a model is held.
+
+One node does so at a time, under a lease with fencing numbers.
+"""
 
 import asyncio
 import uuid
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import LineLog, UsageTracker, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
@@ -19,8 +22,8 @@
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import TAKE_SPREAD_SECONDS, LeaseKeeper
-from ryelatch_node.duty._orders import OrderBook
+from ryelatch_node.duty._lease import BASE_JITTER_SECONDS, LeaseKeeper
+from ryelatch_node.duty._orders import CommandSender
 from ryelatch_node.duty._timing import PlanTiming
 from ryelatch_node.ports import (
     LeaseStore,
@@ -30,55 +33,55 @@
     RelayStartup,
 )
 
-GATHER_SECONDS = 0.05
-"""Shortest time between two plans: changes come in runs."""
+MIN_PLAN_INTERVAL_SECONDS = 0.05
+"""Minimum time between two plans, as changes come in bursts."""
 
 TICK_SECONDS = 0.25
+"""Interval of checks while this node holds the lease or sees work to do."""
 
-IDLE_SECONDS = 1.0
-"""The same for a node that has nothing to look after.
+IDLE_TICK_SECONDS = 1.0
+"""Interval of checks at all other times.
 
-Only what expires shows at a tick; all else wakes it. Four looks a second at
-two hundred replicas are half a percent of a small core.
+These checks only find what expires, as all other changes wake the controller.
+Four checks a second of two hundred replicas take 0.5% of a small core.
 """
 
-IMPROVE_SECONDS = 3.0
-"""How long others leave a change to the holder where no layer is missing.
+IMPROVEMENT_DELAY_SECONDS = 3.0
+"""Additional time before the lease is taken where no layer is missing.
 
-No request waits for it: an empty replica is put to use so much later if the
-holder is lost. Only where layers are missing is it followed at once.
+No request waits for such a change. If the holder is lost, an empty replica is
+put to use later by this time; only missing layers call for a fast takeover.
 """
 
+IMPROVEMENT_JITTER_FACTOR = 10
+"""Factor by which the takeover jitter grows where no layer is missing.
 
-IMPROVE_SPREAD = 10
-"""By how much more others differ in patience then.
-
-Each of them that outlasts the holder's silence works out a plan, mostly to
-find that nothing is to be done.
+Each node whose wait ends while the holder does nothing computes a plan, which
+is usually empty.
 """
 
 _Pools: TypeAlias = tuple[tuple[ModelProfile, list[Replica]], ...]
-"""Models, each with the replicas that hold it or are to."""
+"""Models, each with the reachable replicas of its service."""
 
 
 @dataclass(frozen=True)
-class _State:
-    """What a plan depends on.
+class _PlanInput:
+    """The state that a plan is computed from.
 
-    :param missing: whether nobody holds some layer of a pool.
-    :param ordered: names of replicas with an order under way.
-    :param allow_relayout: whether pools may be laid out anew.
+    :param missing: whether a pool has a layer that no replica holds.
+    :param pending: names of replicas with a command in progress.
+    :param allow_relayout: whether all layers of a pool may be assigned anew.
     """
 
     pools: _Pools
     missing: bool
-    ordered: frozenset[str]
+    pending: frozenset[str]
     allow_relayout: bool
 
 
 @dataclass(eq=False)
 class PlacementDuty:
-    """Plans, and orders what the plan says if this node holds the lease."""
+    """Plans layer placement; commands replicas while it holds the lease."""
 
     log: LineLog
     clock: Clock
@@ -86,17 +89,17 @@
     replicas: ReplicaView
     orders: Orders
     lease: LeaseKeeper
-    costs: UsageTracker = field(default_factory=UsageTracker)
-    _planned: _State | None = None
-    _seen: tuple[_Pools, bool] | None = None
+    usage: UsageTracker = field(default_factory=UsageTracker)
+    _planned: _PlanInput | None = None
+    _last_gap_check: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
-    _book: OrderBook = field(init=False)
+    _commands: CommandSender = field(init=False)
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
-        """Open the book of orders."""
-        self._book = OrderBook(
+        """Create the sender of commands."""
+        self._commands = CommandSender(
             self.log,
             self.clock,
             self.configuration,
@@ -106,21 +109,21 @@
         )
 
     async def start(self) -> None:
-        """Begin to look after the layers."""
+        """Start to check the layers."""
         self._task = asyncio.create_task(
             keep_running('placement', self._run, self.log)
         )
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop planning."""
         await cancel_task(self._task)
 
     def wake(self, _: ReplicasChanged) -> None:
-        """Look again, as something has changed."""
+        """Check the layers soon, as the view of the replicas has changed."""
         self._wake.set()
 
-    def share_among(self, counted: NodesCounted) -> None:
-        """Be as patient as the number of nodes demands."""
+    def set_node_count(self, counted: NodesCounted) -> None:
+        """Scale the takeover jitter to the number of nodes."""
         self.lease.nodes = counted.nodes
 
     async def _run(self) -> None:
@@ -131,117 +134,120 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            await self._tend()
-            await asyncio.sleep(GATHER_SECONDS)
+            await self._reconcile()
+            await asyncio.sleep(MIN_PLAN_INTERVAL_SECONDS)
 
     def _choose_tick(self) -> float:
         busy = self.lease.held or self._timing.need_since is not None
-        return TICK_SECONDS if busy else IDLE_SECONDS
+        return TICK_SECONDS if busy else IDLE_TICK_SECONDS
 
-    async def _tend(self) -> None:
-        await self._book.review_late()
+    async def _reconcile(self) -> None:
+        await self._commands.check_overdue()
         now = self.clock.monotonic()
-        with self.costs.measure_time('look for gaps'):
+        with self.usage.measure_time('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
-        self._timing.note_need(now, needed=needed)
+        self._timing.record_need(now, needed=needed)
         if state is None or not needed:
             return
-        need_since = self._date_need(state)
-        if not await self._take_turn(state, now, need_since):
+        need_since = self._compute_need_since(state)
+        if not await self._acquire_turn(state, now, need_since):
             return
-        with self.costs.measure_time('plan'):
+        with self.usage.measure_time('plan'):
             moves = self._plan(state, now)
-        # Where a plan orders nothing it stays as it is until something
-        # changes. Made anew at each tick, plans took more than half of a
-        # node's processor time on a calm day: 0.083 of a core, 0.037 without.
+        # An empty plan stays valid until its input changes. When plans were
+        # computed again at each tick, they took more than half of a node's CPU
+        # time under low load: 0.083 cores with them, 0.037 without.
         self._planned = None if moves else state
         if not moves:
             return
-        if await self.lease.secure(self.clock.monotonic(), need_since):
-            await self._give(moves)
+        if await self.lease.acquire(self.clock.monotonic(), need_since):
+            await self._send_all(moves)
 
-    def _observe(self, now: float) -> _State | None:
-        """See what there is to plan for; nothing while the list grows."""
+    def _observe(self, now: float) -> _PlanInput | None:
+        """Collect the input of a plan; nothing while the list still grows."""
         table = self.configuration.table
         listed = self.replicas.replicas.values()
-        self._timing.note_replicas(listed, now)
+        self._timing.record_replicas(listed, now)
         if table is None or not self._timing.is_settled(listed, now):
             return None
         pools = tuple(
-            (terms.model, self._list_alive(terms.name, now))
-            for terms in table.configuration.services.values()
-            if terms.model is not None
+            (service.model, self._list_reachable(service.name, now))
+            for service in table.configuration.services.values()
+            if service.model is not None
         )
-        missing = self._misses_layers(pools)
-        self._timing.note_gap(now, missing=missing)
-        return _State(
+        missing = self._lacks_layers(pools)
+        self._timing.record_gap(now, missing=missing)
+        return _PlanInput(
             pools=pools,
             missing=missing,
-            ordered=self._book.open,
-            allow_relayout=self._timing.may_lay_out(now)
-            and not self._book.open,
+            pending=self._commands.pending_names,
+            allow_relayout=self._timing.may_relayout(now)
+            and not self._commands.pending_names,
         )
 
-    def _misses_layers(self, pools: _Pools) -> bool:
-        """Whether layers are missing; worked out when something changed."""
-        if self._seen is None or self._seen[0] != pools:
-            missing = any(lacks_layers(alive, model) for model, alive in pools)
-            self._seen = (pools, missing)
-        return self._seen[1]
+    def _lacks_layers(self, pools: _Pools) -> bool:
+        """Whether layers are missing; computed only when pools have changed."""
+        if self._last_gap_check is None or self._last_gap_check[0] != pools:
+            missing = any(
+                lacks_layers(reachable, model) for model, reachable in pools
+            )
+            self._last_gap_check = (pools, missing)
+        return self._last_gap_check[1]
 
-    def _list_alive(self, service: str, now: float) -> list[Replica]:
+    def _list_reachable(self, service: str, now: float) -> list[Replica]:
         return [
-            self._book.foresee(replica, now)
+            self._commands.apply_pending(replica, now)
             for replica in self.replicas.list_reachable(service)
         ]
 
-    def _date_need(self, state: _State) -> float:
-        """Tell since when there has been something to look after."""
+    def _compute_need_since(self, state: _PlanInput) -> float:
+        """Compute since when the need for work counts for taking the lease."""
         need_since = self._timing.need_since or self.clock.monotonic()
         if state.missing:
             return need_since
         return (
-            need_since + IMPROVE_SECONDS + IMPROVE_SPREAD * self.lease.patience
+            need_since
+            + IMPROVEMENT_DELAY_SECONDS
+            + IMPROVEMENT_JITTER_FACTOR * self.lease.jitter
         )
 
-    async def _take_turn(
+    async def _acquire_turn(
         self,
-        state: _State,
+        state: _PlanInput,
         now: float,
         need_since: float,
     ) -> bool:
-        """Tell whether this node is the one to plan now.
-
-        Every node sees what the holder of the lease sees. Planned by all at
-        each change, a fleet spends processor time on plans that nobody carries
-        out, in proportion to its nodes: a plan of 205 replicas takes 56 ms of a
-        core, the first one 257 ms, where a look for gaps takes 0.6 ms.
-        Where layers are missing the lease comes first, so that nodes whose
-        turns are close don't all work out the same repair.
+        """Return whether this node is to plan now.
+
+        All nodes see the same state. If each of them planned at every change,
+        the fleet would spend CPU time, in proportion to its size, on plans that
+        are not executed: a plan for 205 replicas takes 56 ms, the first one
+        257 ms, while a check for gaps takes 0.6 ms. Where layers are missing,
+        the lease is taken before planning, so that nodes whose turns are close
+        together don't all compute the same repair.
         """
         if state.missing:
-            return await self.lease.secure(now, need_since)
+            return await self.lease.acquire(now, need_since)
         return self.lease.is_turn(now, need_since)
 
-    def _plan(self, state: _State, now: float) -> list[Move]:
-        """Plan the orders that are due now."""
+    def _plan(self, state: _PlanInput, now: float) -> list[Move]:
+        """Compute the commands that are due now."""
         moves = [
             move
-            for model, alive in state.pools
-            for move in plan_moves(
-                alive, model, allow_relayout=state.allow_relayout
-            )
-            if move.replica.name not in state.ordered
+            for model, reachable in state.pools
+            for move in plan_moves(reachable, model, allow_relayout=state.allow_relayout)
+            if move.replica.name not in state.pending
         ]
         if state.allow_relayout and moves and self.lease.held:
-            self._timing.note_layout(now)
+            self._timing.record_relayout(now)
         return moves
 
-    async def _give(self, moves: list[Move]) -> None:
-        results = await asyncio.gather(*map(self._book.give, moves))
+    async def _send_all(self, moves: list[Move]) -> None:
+        results = await asyncio.gather(*map(self._commands.send, moves))
         if OrderResult.FENCED in results:
-            # Another node orders under a higher number; its turn counts anew.
+            # Another node sends commands under a higher fencing number. The
+            # need counts from now, so that this node waits for its turn again.
             self._timing.need_since = self.clock.monotonic()
 
 
@@ -249,29 +255,29 @@
     """Add the service ``placement``."""
     startup = app.find('startup', RelayStartup)
     log = app.find('log', LineLog)
-    duty = PlacementDuty(
+    controller = PlacementDuty(
         log=log,
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        costs=app.find('costs', UsageTracker),
+        usage=app.find('costs', UsageTracker),
         lease=LeaseKeeper(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            spread=app.random_source.uniform(0, TAKE_SPREAD_SECONDS),
+            base_jitter=app.random_source.uniform(0, BASE_JITTER_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
-    app.hub.connect(ReplicasChanged, duty.wake)
-    app.hub.connect(NodesCounted, duty.share_among)
+    app.hub.connect(ReplicasChanged, controller.wake)
+    app.hub.connect(NodesCounted, controller.set_node_count)
     app.add(
         Service(
             'placement',
-            duty,
+            controller,
             ('configuration', 'replicas'),
-            start=duty.start,
-            stop=duty.stop,
+            start=controller.start,
+            stop=controller.stop,
         )
     )
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_timing.py
@@ -1,92 +1,98 @@
-"""When a fleet is calm enough to be planned, and needs to be."""
+"""Decides when the replicas are stable enough for planning."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
 from ryelatch_core.fleet import Replica
 
-PERSISTENT_SECONDS = 2.5
-"""How long a gap must last before its zone is laid out anew.
+MIN_GAP_SECONDS = 2.5
+"""Time that layers must be missing before all layers of a zone are reassigned.
 
-Replicas that crash are mostly back within four seconds, and replaced ones
-have successors; laying out anew loads most of a zone.
+Crashed replicas are usually back within four seconds, and removed ones are
+replaced; reassigning all layers makes most replicas of a zone load again.
 """
 
 SETTLE_SECONDS = 1.5
-"""How long the list must not grow before an empty fleet is planned.
+"""Time without new replicas before a fleet that holds no layers is planned.
 
-Replicas register over four to five seconds after a first start, several a
-second; a plan for the first few would have to be done again.
+After a first start, replicas register over four to five seconds, several per
+second; a plan for only the first of them would soon be obsolete.
 """
 
-LAYOUT_REST_SECONDS = 12.0
-"""How long a zone that was laid out anew is not laid out again.
+RELAYOUT_COOLDOWN_SECONDS = 12.0
+"""Minimum time between two reassignments of all layers of a zone.
 
-Replicas first finish what passes through the layers that they give up, up to
-ten seconds. When replicas are replaced one a second, each of them would
-change all ranges, and the zone would never be whole.
+Replicas first finish the answers that use the layers they drop, which takes up
+to ten seconds. If one replica per second is replaced, each replacement would
+change all layer ranges, and the zone would never hold all layers.
 """
 
 STEADY_SECONDS = 2.5
-"""How long no replica may have come or gone before a zone is laid out."""
+"""Time without added or removed replicas before layers are reassigned."""
 
 
 @dataclass(eq=False)
 class PlanTiming:
-    """What a node saw come, go and lack, with times in monotonic seconds.
+    """Times of changes in this node's view, in monotonic seconds.
 
-    :param need_since: when the need for orders arose.
-    :param gap_since: when layers were first missing.
+    :param need_since: when the need for commands arose; nothing if none.
+    :param gap_since: since when layers have been missing; nothing if none are.
     """
 
     need_since: float | None = None
     gap_since: float | None = None
     _members: frozenset[str] = frozenset()
     _members_since: float = 0
-    _laid_out: float = float('-inf')
-    _grown: float = 0
-    _known: int = 0
-
-    def note_replicas(self, replicas: Collection[Replica], now: float) -> None:
-        """Note which replicas there are."""
-        members = frozenset(one.name for one in replicas if not one.leaving)
+    _relayout_at: float = float('-inf')
+    _grown_at: float = 0
+    _listed_count: int = 0
+
+    def record_replicas(
+        self, replicas: Collection[Replica], now: float
+    ) -> None:
+        """Record which replicas are listed."""
+        members = frozenset(
+            replica.name for replica in replicas if not replica.leaving
+        )
         if members != self._members:
             self._members = members
             self._members_since = now
-        if len(replicas) > self._known:
-            self._grown = now
-        self._known = len(replicas)
+        if len(replicas) > self._listed_count:
+            self._grown_at = now
+        self._listed_count = len(replicas)
 
-    def note_gap(self, now: float, *, missing: bool) -> None:
-        """Note whether layers are missing."""
-        self.gap_since = _date(self.gap_since, now, lasts=missing)
+    def record_gap(self, now: float, *, missing: bool) -> None:
+        """Record whether layers are missing."""
+        self.gap_since = _update_since(self.gap_since, now, holds=missing)
 
-    def note_need(self, now: float, *, needed: bool) -> None:
-        """Note whether orders are due."""
-        self.need_since = _date(self.need_since, now, lasts=needed)
+    def record_need(self, now: float, *, needed: bool) -> None:
+        """Record whether commands are due."""
+        self.need_since = _update_since(self.need_since, now, holds=needed)
 
-    def note_layout(self, now: float) -> None:
-        """Note that a zone was laid out anew."""
-        self._laid_out = now
+    def record_relayout(self, now: float) -> None:
+        """Record that all layers of a zone were reassigned."""
+        self._relayout_at = now
 
     def is_settled(self, replicas: Collection[Replica], now: float) -> bool:
         """Whether the list of replicas has stopped growing."""
-        if any(one.layers for one in replicas):
+        if any(replica.layers for replica in replicas):
             return True
-        return bool(replicas) and now - self._grown > SETTLE_SECONDS
+        return bool(replicas) and now - self._grown_at > SETTLE_SECONDS
 
-    def may_lay_out(self, now: float) -> bool:
-        """Whether a gap has lasted, and replicas neither come nor go."""
+    def may_relayout(self, now: float) -> bool:
+        """Whether all layers of a zone may be reassigned."""
         lasted = now - self.gap_since if self.gap_since else 0
         return (
-            lasted > PERSISTENT_SECONDS
+            lasted > MIN_GAP_SECONDS
             and now - self._members_since > STEADY_SECONDS
-            and now - self._laid_out > LAYOUT_REST_SECONDS
+            and now - self._relayout_at > RELAYOUT_COOLDOWN_SECONDS
         )
 
 
-def _date(since: float | None, now: float, *, lasts: bool) -> float | None:
-    """Tell since when something lasts; nothing if it does not."""
-    if not lasts:
+def _update_since(
+    since: float | None, now: float, *, holds: bool
+) -> float | None:
+    """Return since when a condition holds; nothing if it does not."""
+    if not holds:
         return None
     return now if since is None else since
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -1,4 +1,4 @@
-"""Shares what nodes know of requests under which replicas end."""
+"""Refuses requests that crash replicas, and shares this state among nodes."""
 
 import asyncio
 import contextlib
@@ -7,129 +7,129 @@
 
 from ryelatch_core.events import LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_core.quarantine import (
-    Crashes,
-    CrashTracker,
-    RequestPhase,
-    StoredCrashes,
-    StoreWrite,
-)
+from ryelatch_core.quarantine import CrashTracker, Crashes, RequestPhase, StoreWrite, StoredCrashes
 from ryelatch_node.ports import QuarantineStore
 
 TICK_SECONDS = 0.1
-"""How often is looked for what the store is to be told, while there is."""
+"""Interval of checks for due writes to the store while writes are pending."""
 
 IDLE_SECONDS = 5.0
-"""The same while this node has nothing to tell; only what lapses is found."""
+"""Interval of checks while none are pending; they only find what expires."""
 
-MOST_STEPS = 20
-"""Writes in a row; in the loss of a whole group others have their turn."""
+MAX_WRITES = 20
+"""Maximum writes in a row.
 
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 1.6
+After the loss of a whole group of replicas, other nodes get their turn as well.
+"""
+
+_FIRST_RETRY_SECONDS = 0.1
+_MAX_RETRY_SECONDS = 1.6
 
 
 @dataclass(eq=False)
 class Quarantine:
-    """Requests that are refused as replicas end under them.
+    """Refuses requests under which replicas crash.
 
-    Each attempt of a client may come to another node. So what each node sees
-    is kept in the store, where all follow it, a node that starts included.
+    Each retry of a client may arrive at a different node. So the crashes that
+    each node observes are kept in the store, which all nodes watch, including
+    nodes that have just started.
 
-    :param book: what is known.
+    :param tracker: the crashes observed by this node and by others.
     """
 
     log: LineLog
     clock: Clock
     store: QuarantineStore
-    book: CrashTracker
+    tracker: CrashTracker
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
-    _told: frozenset[str] = frozenset()
+    _logged: frozenset[str] = frozenset()
 
     async def start(self) -> None:
-        """Begin to tell the store."""
+        """Start to write observed crashes to the store."""
         self._task = asyncio.create_task(
             keep_running('quarantine', self._run, self.log)
         )
 
     async def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop writing to the store."""
         await cancel_task(self._task)
 
     def find_refused(self, digest: str) -> Crashes | None:
-        """Find why a request is refused; nothing if it isn't."""
-        return self.book.find_refused(digest)
+        """Find the crashes a request is refused for; nothing if it is not."""
+        return self.tracker.find_refused(digest)
 
     def is_suspect(self, digest: str) -> bool:
-        """Whether a replica has ended under a request that may be why."""
-        return self.book.is_suspect(digest, self.clock.monotonic())
+        """Whether a request may be the cause of a crash."""
+        return self.tracker.is_suspect(digest, self.clock.monotonic())
 
     def count_refused(self) -> int:
         """Count the requests that are refused."""
-        return len(self._told)
+        return len(self._logged)
 
     def count_suspects(self) -> int:
-        """Count the requests under which replicas ended, refused or not."""
-        return len(self.book)
+        """Count the requests under which replicas crashed, refused or not."""
+        return len(self.tracker)
 
     def record_crash(
         self,
         digest: str,
-        life: str,
-        manner: RequestPhase,
+        incarnation: str,
+        phase: RequestPhase,
         request: str,
     ) -> None:
-        """Note that a replica has ended under a request.
+        """Record that a replica crashed while it held a request.
 
-        :param life: name of the replica's life.
-        :param request: identity of the attempt, for the line.
+        :param digest: hash of the request's content.
+        :param incarnation: name of the incarnation that crashed.
+        :param phase: whether the request had begun to run or was waiting.
+        :param request: ID of the attempt, for the log.
         """
         now = self.clock.monotonic()
-        if self.book.record_crash(digest, life, manner, now):
+        if self.tracker.record_crash(digest, incarnation, phase, now):
             self.log.record(
                 catalogue.REQUEST_SUSPECTED,
                 request=request,
                 digest=digest,
-                replica=life,
-                manner=manner.value,
+                replica=incarnation,
+                manner=phase.value,
             )
-            self._tell()
+            self._on_change()
 
     def record_run(self, digest: str) -> None:
-        """Note that a request has run and its replica is still there."""
-        if self.book.record_run(digest, self.clock.monotonic()):
-            self._tell()
+        """Record that a request has run and its replica has not crashed."""
+        if self.tracker.record_run(digest, self.clock.monotonic()):
+            self._on_change()
 
     def put(self, stored: StoredCrashes) -> None:
-        """Take what the store holds of a request."""
-        self.book.put(stored, self.clock.monotonic())
-        self._tell()
+        """Apply the stored crashes of a request."""
+        self.tracker.put(stored, self.clock.monotonic())
+        self._on_change()
 
     def remove(self, digest: str) -> None:
-        """Take note that a request is let in again."""
-        self.book.remove(digest, self.clock.monotonic())
-        self._tell()
+        """Apply the deletion of a request's crashes from the store."""
+        self.tracker.remove(digest, self.clock.monotonic())
+        self._on_change()
 
     def replace(self, listed: Iterable[StoredCrashes]) -> None:
-        """Take all that the store holds."""
-        self.book.replace(listed, self.clock.monotonic())
-        self._tell()
+        """Apply a complete list of the store's contents."""
+        self.tracker.replace(listed, self.clock.monotonic())
+        self._on_change()
 
     def evaluate(self) -> None:
-        """Decide anew what is refused, as time has passed."""
-        self.book.evaluate(self.clock.monotonic())
-        self._record()
+        """Re-evaluate which requests are refused, as crashes expire."""
+        self.tracker.evaluate(self.clock.monotonic())
+        self._log_changes()
 
-    def _tell(self) -> None:
-        """Record what has changed, and look for what the store is to know."""
-        self._record()
+    def _on_change(self) -> None:
+        """Log changes, and wake the task that writes to the store."""
+        self._log_changes()
         self._changed.set()
 
-    def _record(self) -> None:
-        """Record which requests are refused from now on, and which no more."""
-        refused = self.book.refused
-        for digest in refused.keys() - self._told:
+    def _log_changes(self) -> None:
+        """Log which requests are newly refused, and which no longer are."""
+        refused = self.tracker.refused
+        for digest in refused.keys() - self._logged:
             crashes = refused[digest]
             self.log.record(
                 catalogue.REQUEST_QUARANTINED,
@@ -137,38 +137,38 @@
                 begun=sorted(crashes.begun),
                 waiting=sorted(crashes.waiting),
             )
-        for digest in self._told - refused.keys():
+        for digest in self._logged - refused.keys():
             self.log.record(catalogue.REQUEST_RELEASED, digest=digest)
-        self._told = frozenset(refused)
+        self._logged = frozenset(refused)
 
     async def _run(self) -> None:
-        pause = _FIRST_PAUSE
+        pause = _FIRST_RETRY_SECONDS
         while True:
-            steps = self.book.list_due_writes(self.clock.monotonic())
-            if await self._carry_out(steps[:MOST_STEPS]):
-                pause = _FIRST_PAUSE
+            writes = self.tracker.list_due_writes(self.clock.monotonic())
+            if await self._perform(writes[:MAX_WRITES]):
+                pause = _FIRST_RETRY_SECONDS
                 await self._wait()
             else:
-                # The store is out. Nothing is lost: it is told when it is
-                # back, and this node itself knows already.
+                # The store is unavailable. Nothing is lost: this node applies
+                # the crashes already, and writes them once the store is back.
                 await asyncio.sleep(pause)
-                pause = min(_LONGEST_PAUSE, pause * 2)
+                pause = min(_MAX_RETRY_SECONDS, pause * 2)
 
-    async def _carry_out(self, steps: list[StoreWrite]) -> bool:
-        for step in steps:
-            found = await self.store.carry_out(step)
+    async def _perform(self, writes: list[StoreWrite]) -> bool:
+        for write in writes:
+            found = await self.store.carry_out(write)
             if not found.answered:
                 return False
             if found.stored is None:
-                self.remove(step.digest)
+                self.remove(write.digest)
             else:
                 self.put(found.stored)
         return True
 
     async def _wait(self) -> None:
-        """Wait for something to tell, without a look at each of its changes."""
+        """Wait until writes may be due, without a check at every change."""
         await asyncio.sleep(TICK_SECONDS)
-        if self.book.has_pending_writes(self.clock.monotonic()):
+        if self.tracker.has_pending_writes(self.clock.monotonic()):
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(IDLE_SECONDS):
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -1,4 +1,4 @@
-"""Asks other nodes for permits."""
+"""Client for permits that other nodes grant."""
 
 import asyncio
 from collections import defaultdict
@@ -13,108 +13,117 @@
     REQUEST_ERRORS,
     PeerConnection,
     PeerSync,
-    PermitReply,
     PermitRequest,
+    PermitReply,
     connect_to_peer,
 )
 
-ASK_SECONDS = 0.1
-"""Longest wait for a permit; a request waits for it, and has other replicas."""
+PERMIT_TIMEOUT_SECONDS = 0.1
+"""Timeout of a permit request.
+
+A client's request waits for it, and other replicas may be able to serve it.
+"""
 
-REST_SECONDS = 2.0
-"""How long a node that did not answer is not asked again."""
+COOLDOWN_SECONDS = 2.0
+"""Cooldown: time without another request to a node that did not reply."""
 
-LONGEST_REST = 64.0
-"""The same at most, as it doubles each time; a VM may be gone for good."""
+MAX_COOLDOWN_SECONDS = 64.0
+"""Maximum of the cooldown, which doubles with each request left unanswered.
+
+The VM of the node may have been removed permanently.
+"""
 
 
 @dataclass(frozen=True, slots=True)
-class _Left:
-    """That a node left questions unanswered.
+class _Cooldown:
+    """A time without requests to a node that did not reply.
 
-    :param until: when it is asked again, in monotonic seconds.
-    :param rest: seconds for which it was left.
+    :param until: when it may be asked again, in monotonic seconds.
+    :param seconds: duration of the cooldown.
     """
 
     until: float
-    rest: float
+    seconds: float
 
 
 @dataclass(eq=False)
 class PermitLines:
-    """Connections to the nodes that grant permits, by address."""
+    """Requests permits, over one connection to each node that grants them."""
 
     log: LineLog
     clock: Clock
     peer_sync: PeerSync
-    _lines: dict[str, PeerConnection] = field(default_factory=dict)
+    _connections: dict[str, PeerConnection] = field(default_factory=dict)
     _locks: dict[str, asyncio.Lock] = field(
         default_factory=lambda: defaultdict(asyncio.Lock)
     )
-    _left: dict[str, _Left] = field(default_factory=dict)
+    _cooldowns: dict[str, _Cooldown] = field(default_factory=dict)
 
     def stop(self) -> None:
         """Close all connections."""
-        for address in tuple(self._lines):
+        for address in tuple(self._connections):
             self._drop(address)
 
-    def rests(self, limiter: NodeEntry) -> bool:
-        """Whether a node left a question unanswered a short while ago."""
-        left = self._left.get(limiter.address)
-        return left is not None and self.clock.monotonic() < left.until
+    def is_cooling_down(self, limiter: NodeEntry) -> bool:
+        """Whether a node is not asked for a while, as it did not reply."""
+        cooldown = self._cooldowns.get(limiter.address)
+        return cooldown is not None and self.clock.monotonic() < cooldown.until
 
-    async def ask(
+    async def request_permit(
         self,
         limiter: NodeEntry,
-        question: PermitRequest,
+        request: PermitRequest,
     ) -> PermitReply | None:
-        """Ask a node for a permit.
+        """Request a permit from a node.
 
         :returns: nothing if no reply came.
         """
         async with self._locks[limiter.address]:
-            # Those before may have found out that it does not answer.
-            if self.rests(limiter):
+            # An earlier request may have failed while this one was waiting.
+            if self.is_cooling_down(limiter):
                 return None
             try:
-                return await self._exchange(limiter.address, question)
+                return await self._exchange(limiter.address, request)
             except REQUEST_ERRORS as error:
-                self._leave(limiter, type(error).__name__)
+                self._begin_cooldown(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
-                # A reply still to come would answer the next question.
+                # A late reply would be read as the one to the next request.
                 self._drop(limiter.address)
                 raise
 
     async def _exchange(
         self,
         address: str,
-        question: PermitRequest,
+        request: PermitRequest,
     ) -> PermitReply:
-        async with asyncio.timeout(ASK_SECONDS):
-            line = self._lines.get(address)
-            if line is None:
-                line = await connect_to_peer(self.peer_sync.dial, address)
-                self._lines[address] = line
-            body = await line.send_request(question)
+        async with asyncio.timeout(PERMIT_TIMEOUT_SECONDS):
+            connection = self._connections.get(address)
+            if connection is None:
+                connection = await connect_to_peer(self.peer_sync.dial, address)
+                self._connections[address] = connection
+            body = await connection.ask(request)
         reply = msgspec.msgpack.decode(body, type=PermitReply)
-        self._left.pop(address, None)
+        self._cooldowns.pop(address, None)
         return reply
 
-    def _leave(self, limiter: NodeEntry, reason: str) -> None:
+    def _begin_cooldown(self, limiter: NodeEntry, reason: str) -> None:
         self._drop(limiter.address)
-        left = self._left.get(limiter.address)
-        rest = min(LONGEST_REST, left.rest * 2 if left else REST_SECONDS)
-        until = self.clock.monotonic() + rest
-        self._left[limiter.address] = _Left(until, rest)
+        cooldown = self._cooldowns.get(limiter.address)
+        seconds = min(
+            MAX_COOLDOWN_SECONDS,
+            cooldown.seconds * 2 if cooldown else COOLDOWN_SECONDS,
+        )
+        until = self.clock.monotonic() + seconds
+        self._cooldowns[limiter.address] = _Cooldown(until, seconds)
         self.log.record(
             catalogue.LIMITER_LEFT,
             peer=limiter.name,
             reason=reason,
-            seconds=rest,
+            seconds=seconds,
         )
 
     def _drop(self, address: str) -> None:
-        line = self._lines.pop(address, None)
-        if line is not None:
-            line.drop()
+        connection = self._connections.pop(address, None)
+        if connection is not None:
+            connection.drop()
