--- a/packages/ryelatch-node/src/ryelatch_node/admission/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/__init__.py
@@ -1,5 +1,5 @@
 """Admission control: fair queuing of requests by client account."""
 
-from ryelatch_node.admission._service import Admission, Pass, setup
+from ryelatch_node.admission._service import Admission, AdmissionSlot, setup
 
-__all__ = ['Admission', 'Pass', 'setup']
+__all__ = ['Admission', 'AdmissionSlot', 'setup']
--- a/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Pass:
+class AdmissionSlot:
     """A slot held by an admitted request until it is released."""
 
     model: str
@@ -62,7 +62,7 @@
         model: str,
         account: AccountEntry,
         work: float,
-    ) -> Result[Pass, Failure]:
+    ) -> Result[AdmissionSlot, Failure]:
         """Wait until a request may start.
 
         :param work: estimated number of token positions it will compute.
@@ -96,9 +96,13 @@
         finally:
             timer.cancel()
             self._waiters.pop(ticket.number, None)
-        return Ok(Pass(model, ticket)) if failure is None else Err(failure)
+        return (
+            Ok(AdmissionSlot(model, ticket))
+            if failure is None
+            else Err(failure)
+        )
 
-    def release(self, slot: Pass, work: float) -> None:
+    def release(self, slot: AdmissionSlot, work: float) -> None:
         """Release a slot, and account for the work that was actually done."""
         self._find_queue(slot.model).finish(slot.ticket, work)
         self._dispatch(slot.model)
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -44,7 +44,7 @@
     since: float
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes, renews and releases leases.
 
     :param name: name of this node, as the holder of its leases.
@@ -112,7 +112,9 @@
         held = self.held.get(task)
         if held is None:
             return False
-        return may_send_command(held.renewed, held.taken, self._clock.monotonic())
+        return may_send_command(
+            held.renewed, held.taken, self._clock.monotonic()
+        )
 
     def _measure_unchanged(
         self, task: str, entry: Entry | None, now: float
@@ -143,7 +145,11 @@
         # Only a holder whose lease expired may have a command in progress; one
         # that released the lease has waited for its commands to finish.
         expired = entry is not None and not _decode(entry).released
-        taken = self._clock.monotonic() if expired else started - COMMAND_TIMEOUT_SECONDS
+        taken = (
+            self._clock.monotonic()
+            if expired
+            else started - COMMAND_TIMEOUT_SECONDS
+        )
         self.held[task] = HeldLease(
             new_lease, written.unwrap().version, started, taken
         )
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -12,7 +12,7 @@
 from ryelatch_core.pipeline import Holding, Move, plan_repair
 from ryelatch_core.settings import Model, Startup
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.control._keeper import LeaseKeeper
+from ryelatch_node.control._keeper import LeaseManager
 from ryelatch_node.peers import Peers
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams import EngineLink, Upstreams
@@ -33,7 +33,7 @@
     :param name: name of this node.
     """
 
-    def __init__(self, app: App, leases: LeaseKeeper, name: str) -> None:
+    def __init__(self, app: App, leases: LeaseManager, name: str) -> None:
         self._app = app
         self._leases = leases
         self._name = name
@@ -178,7 +178,7 @@
 def setup(app: App) -> None:
     """Add the service ``repair``."""
     name = app.find('startup', Startup).name
-    leases = LeaseKeeper(
+    leases = LeaseManager(
         app.find('store', Store),
         app.find('timeline', Timeline),
         app.clock,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
@@ -1,6 +1,6 @@
 """Layer placement, which one node controls at a time under a lease."""
 
-from ryelatch_node.duty._lease import LeaseKeeper
-from ryelatch_node.duty._service import PlacementDuty, setup
+from ryelatch_node.duty._lease import LeaseManager
+from ryelatch_node.duty._service import PlacementController, setup
 
-__all__ = ['LeaseKeeper', 'PlacementDuty', 'setup']
+__all__ = ['LeaseManager', 'PlacementController', 'setup']
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(eq=False)
-class LeaseKeeper:
+class LeaseManager:
     """Takes and renews the placement lease, from this node's view of it.
 
     :param base_jitter: additional seconds that this node waits before it takes
@@ -91,7 +91,7 @@
             return None
         return lease.fence
 
-    def follow(self, record: LeaseRecord) -> None:
+    def apply_record(self, record: LeaseRecord) -> None:
         """Apply a lease record read from the store, unless it is outdated."""
         if self._record is None or record.revision > self._record.revision:
             if self._record is not None:
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import UsageTracker, LineLog, keep_running
+from ryelatch_core.events import LineLog, UsageTracker, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
@@ -22,7 +22,7 @@
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import BASE_JITTER_SECONDS, LeaseKeeper
+from ryelatch_node.duty._lease import BASE_JITTER_SECONDS, LeaseManager
 from ryelatch_node.duty._orders import CommandSender
 from ryelatch_node.duty._timing import PlanTiming
 from ryelatch_node.ports import (
@@ -80,7 +80,7 @@
 
 
 @dataclass(eq=False)
-class PlacementDuty:
+class PlacementController:
     """Plans layer placement; commands replicas while it holds the lease."""
 
     log: LineLog
@@ -88,7 +88,7 @@
     configuration: ConfigurationView
     replicas: ReplicaView
     orders: Orders
-    lease: LeaseKeeper
+    lease: LeaseManager
     usage: UsageTracker = field(default_factory=UsageTracker)
     _planned: _PlanInput | None = None
     _last_gap_check: tuple[_Pools, bool] | None = None
@@ -236,7 +236,9 @@
         moves = [
             move
             for model, reachable in state.pools
-            for move in plan_moves(reachable, model, allow_relayout=state.allow_relayout)
+            for move in plan_moves(
+                reachable, model, allow_relayout=state.allow_relayout
+            )
             if move.replica.name not in state.pending
         ]
         if state.allow_relayout and moves and self.lease.held:
@@ -255,14 +257,14 @@
     """Add the service ``placement``."""
     startup = app.find('startup', RelayStartup)
     log = app.find('log', LineLog)
-    controller = PlacementDuty(
+    controller = PlacementController(
         log=log,
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
         usage=app.find('costs', UsageTracker),
-        lease=LeaseKeeper(
+        lease=LeaseManager(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
@@ -33,8 +33,8 @@
     Forwarder,
     RecordState,
 )
-from ryelatch_node.plain._claims import fingerprint_call, name_claim
-from ryelatch_node.plain._forward import clean_headers, may_repeat
+from ryelatch_node.plain._claims import fingerprint_call, make_claim_key
+from ryelatch_node.plain._forward import clean_headers, is_idempotent
 from ryelatch_node.upstreams import Upstreams
 
 _KEY_HEADER = 'idempotency-key'
@@ -171,7 +171,7 @@
     call = routed.call
     claims = app.find('claims', Claims)
     claimed = await claims.claim(
-        name_claim(routed.account.path, routed.prefix, key),
+        make_claim_key(routed.account.path, routed.prefix, key),
         fingerprint_call(call.method, call.path, call.body),
         routed.route.keep_answers,
         routed.service.timeout,
@@ -264,5 +264,5 @@
         f'{path}?{query}' if query else path,
         (*headers, (REQUEST_HEADER, request.state.request)),
         body,
-        may_repeat(route, request.method),
+        is_idempotent(route, request.method),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
@@ -313,7 +313,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def name_claim(account: str, route: str, key: str) -> str:
+def make_claim_key(account: str, route: str, key: str) -> str:
     """Build the store's key for a client's idempotency key.
 
     The same idempotency key is distinct for each client account and route.
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
@@ -198,7 +198,7 @@
     )
 
 
-def may_repeat(route: Route, method: str) -> bool:
+def is_idempotent(route: Route, method: str) -> bool:
     """Return whether requests with a method are idempotent on a route."""
     return method in route.idempotent
 
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -7,7 +7,13 @@
 
 from ryelatch_core.events import LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_core.quarantine import CrashTracker, Crashes, RequestPhase, StoreWrite, StoredCrashes
+from ryelatch_core.quarantine import (
+    Crashes,
+    CrashTracker,
+    RequestPhase,
+    StoredCrashes,
+    StoreWrite,
+)
 from ryelatch_node.ports import QuarantineStore
 
 TICK_SECONDS = 0.1
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
@@ -61,7 +61,7 @@
     ) -> MoveAnswer:
         identity = stream.request.terms.identity
         pause = self.context.clock.monotonic() - stream.progress
-        if not await self.context.throttle.take(stream.first_replica):
+        if not await self.context.throttle.acquire_permit(stream.first_replica):
             return MoveAnswer(OrderResult.REFUSED)
         moved = await self.context.orders.move(
             stream.first_replica, identity, path
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -209,7 +209,7 @@
         # Another replica may have the address by now.
         if terms.entry not in {'', replica.entry}:
             return
-        throttle.note_answer(replica, terms)
+        throttle.record_answer(replica, terms)
         if terms.leaving:
             replicas.record_leaving(replica)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -180,7 +180,7 @@
         self._tasks.spawn(self._evaluate_report(replica))
 
     async def _evaluate_report(self, replica: Replica) -> None:
-        if not await self.context.throttle.take(replica):
+        if not await self.context.throttle.acquire_permit(replica):
             return
         sent = self.context.clock.monotonic()
         try:
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -4,8 +4,8 @@
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.throttle import ReportedLimit, LimitTracker, TokenBucket
-from ryelatch_node.news import PermitRequest, PermitReply
+from ryelatch_core.throttle import LimitTracker, ReportedLimit, TokenBucket
+from ryelatch_node.news import PermitReply, PermitRequest
 
 
 @dataclass(eq=False)
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
@@ -13,8 +13,8 @@
     REQUEST_ERRORS,
     PeerConnection,
     PeerSync,
-    PermitRequest,
     PermitReply,
+    PermitRequest,
     connect_to_peer,
 )
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(eq=False)
-class PermitLines:
+class PermitClient:
     """Requests permits, over one connection to each node that grants them."""
 
     log: LineLog
@@ -102,7 +102,7 @@
             if connection is None:
                 connection = await connect_to_peer(self.peer_sync.dial, address)
                 self._connections[address] = connection
-            body = await connection.ask(request)
+            body = await connection.send_request(request)
         reply = msgspec.msgpack.decode(body, type=PermitReply)
         self._cooldowns.pop(address, None)
         return reply
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from ryelatch_core.events import UsageTracker, LineLog, catalogue
+from ryelatch_core.events import LineLog, UsageTracker, catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
@@ -14,7 +14,7 @@
 from ryelatch_node.ports import AnswerTerms, RelayStartup
 from ryelatch_node.tasks import Tasks
 from ryelatch_node.throttle._limiter import Limiter
-from ryelatch_node.throttle._lines import PermitLines
+from ryelatch_node.throttle._lines import PermitClient
 
 MAX_LIMITERS_ASKED = 2
 """Maximum number of nodes that are asked for a permit, one after another."""
@@ -54,7 +54,7 @@
     clock: Clock
     startup: RelayStartup
     peer_sync: PeerSync
-    permit_client: PermitLines
+    permit_client: PermitClient
     usage: UsageTracker = field(default_factory=UsageTracker)
     limiter: Limiter = field(init=False)
     _backoffs: BackoffTracker = field(default_factory=BackoffTracker)
@@ -67,14 +67,16 @@
         """Create the limiter and register it to serve other nodes."""
         self._tasks = Tasks(self.log, 'throttle')
         self.limiter = Limiter(self.log, self.clock)
-        self.peer_sync.server.handle_permit_request = self.limiter.handle_request
+        self.peer_sync.server.handle_permit_request = (
+            self.limiter.handle_request
+        )
 
     async def stop(self) -> None:
         """Stop requesting permits, and close the connections."""
         await self._tasks.stop()
         self.permit_client.stop()
 
-    def note_answer(self, replica: Replica, terms: AnswerTerms) -> None:
+    def record_answer(self, replica: Replica, terms: AnswerTerms) -> None:
         """Record the limit and backoff in a replica's answer."""
         name = replica.name
         self._record_backoff(name, terms.backoff)
@@ -134,7 +136,7 @@
         }
         return frozenset(self._denied_until) | self._backoffs.list_names(now)
 
-    async def take(self, replica: Replica) -> bool:
+    async def acquire_permit(self, replica: Replica) -> bool:
         """Acquire a permit to send one request to a replica, if one is needed.
 
         :returns: whether the request may be sent.
@@ -210,7 +212,9 @@
         sent = self.clock.monotonic()
         reply = await self.permit_client.request_permit(limiter, request)
         if reply is not None:
-            self.limiter.record_limit(name, ReportedLimit(reply.limit, sent - reply.age))
+            self.limiter.record_limit(
+                name, ReportedLimit(reply.limit, sent - reply.age)
+            )
         return reply
 
     async def _announce_unlimited(self, name: str) -> None:
@@ -228,7 +232,7 @@
         app.clock,
         app.find('startup', RelayStartup),
         peer_sync,
-        PermitLines(log, app.clock, peer_sync),
+        PermitClient(log, app.clock, peer_sync),
         app.find('costs', UsageTracker),
     )
     app.add(Service('throttle', throttle, ('news',), stop=throttle.stop))
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/duty/test_turns.py
@@ -76,7 +76,7 @@
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 1):
-        platform.duties[0].lease.base_jitter = 0
+        platform.controllers[0].lease.base_jitter = 0
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 8)),
@@ -100,7 +100,7 @@
             f'node-{sample}', BASE_JITTER_SECONDS * sample
         )
         controller.lease.nodes = len(samples)
-    waits = [controller.lease.jitter for controller in platform.duties]
+    waits = [controller.lease.jitter for controller in platform.controllers]
     early = [wait for wait in waits if wait < BASE_JITTER_SECONDS / 6]
     assert len(early) <= 4
     assert max(waits) <= MAX_JITTER_SECONDS
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -48,7 +48,7 @@
         await asyncio.sleep(0.001)
         return Reach.LISTENS
 
-    async def take(_: Replica) -> bool:
+    async def acquire_permit(_: Replica) -> bool:
         return True
 
     clock = VirtualClock()
@@ -61,7 +61,7 @@
         replicas=view,
         orders=SimpleNamespace(read_report=read_report, reach=reach),
         budget=SimpleNamespace(left=0),
-        throttle=SimpleNamespace(take=take),
+        throttle=SimpleNamespace(acquire_permit=acquire_permit),
         paces=SimpleNamespace(
             check=lambda _: None, stop=lambda: asyncio.sleep(0)
         ),
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -36,7 +36,7 @@
 async def _report_limit(fleet: ThrottledFleet) -> None:
     """Report the limit to each node once."""
     for throttle in fleet.nodes.values():
-        throttle.note_answer(REPLICA, make_terms(fleet.limit))
+        throttle.record_answer(REPLICA, make_terms(fleet.limit))
 
 
 @pytest.mark.parametrize('limit', [0, 0.5, 1, 4.2, 40])
@@ -119,10 +119,10 @@
         fleet.dark.update(ranked[:2])
         node = fleet.nodes[ranked[5]]
         began = _now()
-        assert not await node.take(REPLICA)
+        assert not await node.acquire_permit(REPLICA)
         assert _now() - began <= 2 * PERMIT_TIMEOUT_SECONDS + 0.01
         began = _now()
-        assert await node.take(REPLICA)
+        assert await node.acquire_permit(REPLICA)
         assert _now() - began < PERMIT_TIMEOUT_SECONDS / 2
         await fleet.stop()
 
@@ -155,7 +155,7 @@
     run(main())
 
 
-def test_late_word_of_a_limit_brings_it_not_back() -> None:
+def test_outdated_report_does_not_restore_a_limit() -> None:
     """A peer that missed the end of a limit still reports the limit."""
 
     async def main() -> None:
@@ -163,9 +163,9 @@
         names = _name_nodes(2)
         fleet.start(names)
         limiter = fleet.nodes[_rank(names)[0]]
-        limiter.note_answer(REPLICA, make_terms(4.2))
+        limiter.record_answer(REPLICA, make_terms(4.2))
         await asyncio.sleep(1)
-        limiter.note_answer(REPLICA, make_terms(None))
+        limiter.record_answer(REPLICA, make_terms(None))
         await asyncio.sleep(1)
         reply = limiter.limiter.handle_request(
             PermitRequest(REPLICA.name, 4.2, 1.5)
@@ -193,7 +193,7 @@
     run(main())
 
 
-def test_limiter_that_lists_no_replica_counts() -> None:
+def test_limiter_counts_without_listed_replica() -> None:
     """A limiter learns of a replica later than other nodes do.
 
     If it dropped the token bucket of a replica that it does not list, it would
@@ -215,7 +215,7 @@
     run(main())
 
 
-def test_refusal_without_a_word_ends_no_limit() -> None:
+def test_unsigned_refusal_ends_no_limit() -> None:
     """An unsigned refusal names no limit, although the replica has one.
 
     If that ended the limit, all nodes would send requests as before.
@@ -225,11 +225,11 @@
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.note_answer(REPLICA, make_terms(4.2))
+        node.record_answer(REPLICA, make_terms(4.2))
         await asyncio.sleep(1)
-        node.note_answer(REPLICA, make_terms(None, signed=False))
+        node.record_answer(REPLICA, make_terms(None, signed=False))
         assert node.is_limited(REPLICA.name)
-        node.note_answer(REPLICA, make_terms(None))
+        node.record_answer(REPLICA, make_terms(None))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
@@ -273,7 +273,7 @@
         await _report_limit(fleet)
         node = fleet.nodes[_rank(names)[3]]
         granted = await asyncio.gather(
-            *(node.take(REPLICA) for _ in range(100))
+            *(node.acquire_permit(REPLICA) for _ in range(100))
         )
         assert 1 <= sum(granted) <= 4
         assert not any(line['name'] == 'limiter-left' for line in fleet.lines)
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -12,7 +12,7 @@
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news import PeerSync
 from ryelatch_node.ports import AnswerTerms
-from ryelatch_node.throttle import PermitLines, Throttle
+from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 
@@ -54,10 +54,10 @@
         throttle = self.nodes[name]
         if REPLICA.name in throttle.list_closed():
             return False
-        if not await throttle.take(REPLICA):
+        if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.note_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_terms(self.limit))
         return True
 
     async def press(self, names: list[str], seconds: float, gap: float) -> None:
@@ -93,7 +93,7 @@
         startup = make_startup(1)._replace(name=name)
         peer_sync = PeerSync(log, clock, startup, self._dial)
         return Throttle(
-            log, clock, startup, peer_sync, PermitLines(log, clock, peer_sync)
+            log, clock, startup, peer_sync, PermitClient(log, clock, peer_sync)
         )
 
     def _write(self, line: bytes) -> int:
