--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -1,4 +1,4 @@
-"""One answer in progress: attempts, positions, tokens."""
+"""State of one answer in progress: attempts, positions, tokens."""
 
 import asyncio
 import enum
@@ -17,11 +17,11 @@
 from ryelatch_node.upstreams import EngineLink
 
 END_TOKEN = 0
-CHUNK = 256
+PREFILL_CHUNK_TOKENS = 256
 
 
 class Finish(enum.StrEnum):
-    """Why an answer ended, in the words of the callers' interface."""
+    """Why an answer was complete, as the clients' API names it."""
 
     STOP = 'stop'
     LENGTH = 'length'
@@ -30,7 +30,7 @@
 class AnswerError(Exception):
     """The answer can't be completed.
 
-    :param failure: what the caller is told.
+    :param failure: the error that the client receives.
     """
 
     def __init__(self, failure: Failure) -> None:
@@ -39,10 +39,10 @@
 
 
 @dataclass(frozen=True)
-class Loss:
-    """A stage of an attempt that was lost.
+class StageFailure:
+    """The failure of a stage, which ends an attempt.
 
-    :param engine: its name.
+    :param engine: name of the engine that ran the stage.
     """
 
     engine: str
@@ -50,13 +50,14 @@
 
 
 class Answer:
-    """Drives the steps of one request; a state machine without waiting.
+    """Sends the steps of one request to the engines of its chain.
 
-    Each position goes through the stages in order. A receipt of the last
-    stage is a token for the caller, and the input of the next position.
+    This is a state machine driven by receipts; only :meth:`read` waits. Each
+    position passes the stages in order. The receipt of the last stage holds
+    a token for the client, which is also the input of the next position.
 
     :param stream: name of the stream, unique over all nodes.
-    :param on_lost: called once when the attempt can't go on.
+    :param on_attempt_failed: called once for each attempt that fails.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         prompt: tuple[int, ...],
         max_tokens: int,
         priority: int,
-        on_lost: Callable[['Answer', Loss], None],
+        on_attempt_failed: Callable[['Answer', StageFailure], None],
     ) -> None:
         self.stream = stream
         self.prompt = prompt
@@ -76,31 +77,33 @@
         self.failure: Failure | None = None
         self._max_tokens = max_tokens
         self._priority = priority
-        self._on_lost = on_lost
+        self._on_attempt_failed = on_attempt_failed
         self._links: tuple[EngineLink, ...] = ()
         self._chain: Chain = ()
         self._chunks: list[tuple[int, int]] = []
-        self._history: tuple[int, ...] = ()
+        self._known_tokens: tuple[int, ...] = ()
         self._open_steps: dict[StepKey, int] = {}
-        self._delivered = 0
-        self._news = asyncio.Event()
+        self._returned = 0
+        self._progress = asyncio.Event()
 
     @property
-    def work(self) -> int:
-        """Positions run for the caller so far."""
+    def positions_run(self) -> int:
+        """Number of positions that were run for the client so far."""
         return len(self.prompt) + len(self.tokens) if self.sent else 0
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will be produced."""
+        """Whether the answer is complete or has failed."""
         return self.finish is not None or self.failure is not None
 
-    def begin(self, chain: Chain, links: Mapping[str, EngineLink]) -> None:
-        """Start an attempt: run all that is known so far on a new chain.
+    def start_attempt(
+        self, chain: Chain, links: Mapping[str, EngineLink]
+    ) -> None:
+        """Start an attempt: prefill all known tokens on a new chain.
 
         Each attempt builds the KV cache of every layer anew under its own
-        number. So an entry of the cache that a token came from was made once,
-        whatever earlier attempts left in the engines.
+        number. So each cache entry that a token depends on was written
+        exactly once, whatever earlier attempts left in the engines.
         """
         self.attempt += 1
         self.sent = True
@@ -109,85 +112,91 @@
         for link in self._links:
             link.streams += 1
         self._open_steps = {}
-        self._history = (*self.prompt, *self.tokens)
-        self._chunks = cut_prompt(len(self._history), CHUNK)
+        self._known_tokens = (*self.prompt, *self.tokens)
+        self._chunks = cut_prompt(len(self._known_tokens), PREFILL_CHUNK_TOKENS)
         self._send_chunk()
 
     async def read(self) -> list[int]:
-        """Wait for the next tokens; none at the end.
+        """Wait for the next tokens.
 
+        :returns: the tokens since the last call; empty if the answer is
+            complete.
         :raises AnswerError: if the answer can't be completed.
         """
-        while self._delivered == len(self.tokens) and not self.ended:
-            self._news.clear()
-            await self._news.wait()
-        fresh = self.tokens[self._delivered :]
-        self._delivered = len(self.tokens)
-        if not fresh and self.failure is not None:
+        while self._returned == len(self.tokens) and not self.ended:
+            self._progress.clear()
+            await self._progress.wait()
+        new_tokens = self.tokens[self._returned :]
+        self._returned = len(self.tokens)
+        if not new_tokens and self.failure is not None:
             raise AnswerError(self.failure)
-        return fresh
+        return new_tokens
 
-    def give_up(self, failure: Failure) -> None:
-        """End without a whole answer."""
+    def fail(self, failure: Failure) -> None:
+        """Stop with an incomplete answer."""
         self.failure = failure
         self.cancel()
-        self._news.set()
+        self._progress.set()
 
     def cancel(self) -> None:
-        """Stop all work upstream for this stream."""
+        """Cancel the current attempt on all engines of its chain."""
         for stage, link in enumerate(self._links):
-            keys = [key for key, at in self._open_steps.items() if at == stage]
+            keys = [
+                key for key, index in self._open_steps.items() if index == stage
+            ]
             link.cancel(self.stream, self.attempt, keys)
             link.streams -= 1
         self._open_steps = {}
         self._links = ()
 
-    def uses(self, engine: str) -> bool:
-        """Tell whether the attempt in progress runs on an engine."""
+    def runs_on(self, engine: str) -> bool:
+        """Tell whether the current attempt runs on an engine."""
         return any(link.vm.name == engine for link in self._links)
 
-    def leave(self, engine: str) -> None:
-        """Give up the attempt, as one of its engines is no good."""
+    def move_off(self, engine: str) -> None:
+        """Fail the current attempt, as one of its engines is slow."""
         self.cancel()
-        self._on_lost(self, Loss(engine, 'slow'))
+        self._on_attempt_failed(self, StageFailure(engine, 'slow'))
 
-    def take_receipt(self, stage: int, step: Step, receipt: Receipt) -> None:
-        """Go on from what a stage ran."""
-        if not self._close_step(step):
+    def handle_receipt(self, stage: int, step: Step, receipt: Receipt) -> None:
+        """Continue with the result of a step that a stage ran."""
+        if not self._finish_step(step):
             return
         if not matches_step(step, receipt):
-            self._lose(stage, 'receipt')
+            self._fail_attempt(stage, 'receipt')
             return
         if stage + 1 < len(self._links):
             self._forward(stage + 1, step, receipt)
         elif step.sample:
-            self._deliver(receipt.tokens)
+            self._add_token(receipt.tokens)
         if stage == 0 and self._chunks:
             self._send_chunk()
 
-    def fail_stage(self, stage: int, step: Step, reason: str) -> None:
-        """Give up the attempt, as a stage of it is lost."""
-        if self._close_step(step):
-            self._lose(stage, reason)
+    def handle_failure(self, stage: int, step: Step, reason: str) -> None:
+        """Fail the attempt, as a stage gave no result for a step."""
+        if self._finish_step(step):
+            self._fail_attempt(stage, reason)
 
-    def _close_step(self, step: Step) -> bool:
-        """Tell whether a step belongs to the attempt in progress.
+    def _finish_step(self, step: Step) -> bool:
+        """Remove a step, and tell whether the current attempt sent it.
 
-        A stage that was frozen can answer a step of an attempt that was
-        given up; its token would be a second one for the same position.
+        An engine that was paused can respond to a step of an earlier
+        attempt; its token would be a second one for the same position.
         """
         if step.attempt != self.attempt or self.ended:
             return False
         return self._open_steps.pop(step.key, None) is not None
 
-    def _lose(self, stage: int, reason: str) -> None:
+    def _fail_attempt(self, stage: int, reason: str) -> None:
         name = self._chain[stage].name
         self.cancel()
-        self._on_lost(self, Loss(name, reason))
+        self._on_attempt_failed(self, StageFailure(name, reason))
 
     def _send_chunk(self) -> None:
         start, end = self._chunks.pop(0)
-        self._send(start, self._history[start:end], sample=not self._chunks)
+        self._send(
+            start, self._known_tokens[start:end], sample=not self._chunks
+        )
 
     def _send(
         self,
@@ -213,7 +222,7 @@
 
     def _forward(self, index: int, step: Step, receipt: Receipt) -> None:
         stage = self._chain[index]
-        following = Step(
+        next_step = Step(
             step.stream,
             step.attempt,
             step.position,
@@ -227,24 +236,24 @@
             receipt.payload,
             receipt.handle,
         )
-        self._open_steps[following.key] = index
-        self._links[index].send(following, self, index)
+        self._open_steps[next_step.key] = index
+        self._links[index].send(next_step, self, index)
 
-    def _deliver(self, tokens: tuple[int, ...]) -> None:
+    def _add_token(self, tokens: tuple[int, ...]) -> None:
         token = tokens[0] if tokens else END_TOKEN
         if token == END_TOKEN:
-            self._end(Finish.STOP)
+            self._complete(Finish.STOP)
             return
         self.tokens.append(token)
         if len(self.tokens) >= self._max_tokens:
-            self._end(Finish.LENGTH)
+            self._complete(Finish.LENGTH)
             return
-        self._news.set()
+        self._progress.set()
         self._send(
             len(self.prompt) + len(self.tokens) - 1, (token,), sample=True
         )
 
-    def _end(self, finish: Finish) -> None:
+    def _complete(self, finish: Finish) -> None:
         self.finish = finish
         self.cancel()
-        self._news.set()
+        self._progress.set()
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -1,4 +1,4 @@
-"""Answers as a service: chains for attempts, and attempts after losses."""
+"""The service ``answers``: chooses chains and retries failed attempts."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 )
 from ryelatch_core.retries import RetryBudget
 from ryelatch_core.settings import Model, Startup
-from ryelatch_node.answers._answer import Answer, Loss
+from ryelatch_node.answers._answer import Answer, StageFailure
 from ryelatch_node.upstreams import (
     EngineLink,
     LinkChanged,
@@ -27,19 +27,23 @@
     Upstreams,
 )
 
-PATIENCE_SECONDS = 8.0
+MAX_CHAIN_WAIT_SECONDS = 8.0
 MAX_ATTEMPTS = 16
 RETRY_AFTER_SECONDS = 2
-_JITTER_SECONDS = 3
-_HOP_SECONDS = 0.0005
-_PACE_SECONDS = 0.5
+_MAX_JITTER_SECONDS = 3
+_CROSS_ZONE_SECONDS = 0.0005
+_SLOW_CHECK_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class Order:
-    """What a caller asked for, checked and admitted.
+    """A validated request for an answer of a model.
 
-    :param deadline: seconds for the whole answer.
+    :param request: identity of the request, unique over all nodes.
+    :param name: name of the model.
+    :param prompt: tokens of the prompt.
+    :param max_tokens: largest number of tokens to generate.
+    :param deadline: seconds allowed for the complete answer.
     """
 
     request: str
@@ -52,107 +56,110 @@
 
 
 class Answers:
-    """All answers in progress at this node."""
+    """All answers in progress on this node."""
 
     def __init__(self, app: App, upstreams: Upstreams, zone: str) -> None:
         self._app = app
         self._upstreams = upstreams
         self._zone = zone
         self._timeline = app.find('timeline', Timeline)
-        self._orders: dict[str, Order] = {}
+        self._jobs: dict[str, Order] = {}
         self._answers: dict[str, Answer] = {}
         self._budget = RetryBudget()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._moved = asyncio.Event()
+        self._engines_changed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        app.hub.connect(LinkChanged, lambda _: self._note_move())
-        app.hub.connect(RosterChanged, lambda _: self._note_move())
+        app.hub.connect(LinkChanged, lambda _: self._wake_waiting())
+        app.hub.connect(RosterChanged, lambda _: self._wake_waiting())
 
     @property
     def running(self) -> int:
-        """How many answers are in progress."""
-        return len(self._orders)
+        """Number of answers in progress."""
+        return len(self._jobs)
 
     async def start(self) -> None:
-        """Start looking for engines that have become slow."""
-        self._task = asyncio.create_task(self._watch_pace())
+        """Start checking for engines that have become slow."""
+        self._task = asyncio.create_task(self._watch_latency())
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop checking for slow engines."""
         await cancel_task(self._task)
 
-    def open(self, order: Order) -> Answer:
-        """Start an answer; read it, then close it."""
+    def open(self, job: Order) -> Answer:
+        """Start an answer; the caller must close it after reading."""
         answer = Answer(
-            order.request,
-            order.prompt,
-            order.max_tokens,
-            order.priority,
+            job.request,
+            job.prompt,
+            job.max_tokens,
+            job.priority,
             self._recover,
         )
-        self._orders[order.request] = order
-        self._answers[order.request] = answer
+        self._jobs[job.request] = job
+        self._answers[job.request] = answer
         self._budget.earn()
-        self._spawn(answer, frozenset())
+        self._spawn_attempt(answer, frozenset())
         return answer
 
     def close(self, answer: Answer) -> None:
-        """End an answer, whole or not, and its work upstream."""
-        self._orders.pop(answer.stream, None)
+        """Remove an answer; if it isn't complete, cancel its steps."""
+        self._jobs.pop(answer.stream, None)
         self._answers.pop(answer.stream, None)
         if not answer.ended:
-            answer.give_up(self._fail(answer, 'caller-gone'))
+            answer.fail(self._make_failure(answer, 'caller-gone'))
 
-    def _fail(self, answer: Answer, code: str) -> Failure:
-        """Tell a caller that the answer will not be whole.
+    def _make_failure(self, answer: Answer, code: str) -> Failure:
+        """Make the error for a client whose answer can't be completed.
 
-        Without a step sent, no engine ran anything, for certain. Callers cut
-        off together would come back together; the jitter spreads them.
+        If no step was sent, it is certain that no engine ran anything. The
+        jitter of the retry delay spreads the retries of clients that were
+        cut off at the same time.
         """
-        spread = _JITTER_SECONDS * self._app.chance.random()
+        jitter = _MAX_JITTER_SECONDS * self._app.chance.random()
         return Failure(
             HTTPStatus.SERVICE_UNAVAILABLE,
             code,
-            'The model can not answer now; ask again later.',
+            'The model is not available now; try again later.',
             Outcome.UNKNOWN if answer.sent else Outcome.NOT_RUN,
-            RETRY_AFTER_SECONDS + spread,
+            RETRY_AFTER_SECONDS + jitter,
             'server_error',
         )
 
-    def _recover(self, answer: Answer, loss: Loss) -> None:
+    def _recover(self, answer: Answer, failed: StageFailure) -> None:
         self._timeline.record(
             catalogue.CHAIN_LOST,
             request=answer.stream,
             attempt=answer.attempt,
-            upstream=loss.engine,
-            reason=loss.reason,
+            upstream=failed.engine,
+            reason=failed.reason,
             tokens=len(answer.tokens),
         )
-        if loss.reason == 'receipt':
+        if failed.reason == 'receipt':
             self._timeline.record(
                 catalogue.RECEIPT_REFUSED,
                 request=answer.stream,
-                upstream=loss.engine,
+                upstream=failed.engine,
             )
         if answer.attempt >= MAX_ATTEMPTS:
-            answer.give_up(self._fail(answer, 'too-many-attempts'))
+            answer.fail(self._make_failure(answer, 'too-many-attempts'))
             return
-        self._spawn(answer, frozenset((loss.engine,)))
+        self._spawn_attempt(answer, frozenset((failed.engine,)))
 
-    def _spawn(self, answer: Answer, avoided: frozenset[str]) -> None:
-        task = asyncio.create_task(self._begin(answer, avoided))
+    def _spawn_attempt(self, answer: Answer, avoided: frozenset[str]) -> None:
+        task = asyncio.create_task(self._run_attempt(answer, avoided))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _begin(self, answer: Answer, avoided: frozenset[str]) -> None:
-        order = self._orders.get(answer.stream)
-        if order is None or answer.ended:
+    async def _run_attempt(
+        self, answer: Answer, avoided: frozenset[str]
+    ) -> None:
+        job = self._jobs.get(answer.stream)
+        if job is None or answer.ended:
             return
-        chain = await self._wait_chain(order, avoided)
-        if answer.ended or answer.stream not in self._orders:
+        chain = await self._wait_for_chain(job, avoided)
+        if answer.ended or answer.stream not in self._jobs:
             return
         if chain is None:
-            answer.give_up(self._fail(answer, 'no-chain'))
+            answer.fail(self._make_failure(answer, 'no-chain'))
             return
         self._timeline.record(
             catalogue.CHAIN_CHOSEN,
@@ -161,120 +168,137 @@
             chain=','.join(stage.name for stage in chain),
             tokens=len(answer.tokens),
         )
-        answer.begin(chain, self._upstreams.links)
+        answer.start_attempt(chain, self._upstreams.links)
 
-    async def _wait_chain(
+    async def _wait_for_chain(
         self,
-        order: Order,
+        job: Order,
         avoided: frozenset[str],
     ) -> Chain | None:
-        """Find a chain, or wait a while for an engine to take the place."""
+        """Find a chain, or wait until engines make one possible.
+
+        :returns: nothing if there is no chain in time.
+        """
         loop = asyncio.get_running_loop()
-        patience = loop.time() + min(PATIENCE_SECONDS, order.deadline)
+        expires = loop.time() + min(MAX_CHAIN_WAIT_SECONDS, job.deadline)
         while True:
-            self._moved.clear()
-            chain = self._find_chain(order, avoided)
+            self._engines_changed.clear()
+            chain = self._find_chain(job, avoided)
             if chain is None and avoided:
-                # The lost engine may be the only one left for its layers,
-                # such as one that restarted at once.
-                chain = self._find_chain(order, frozenset())
+                # The engine that failed may be the only one with its layers,
+                # for example after an immediate restart.
+                chain = self._find_chain(job, frozenset())
             if chain is not None:
                 return chain
-            left = patience - loop.time()
-            if left <= 0:
+            remaining = expires - loop.time()
+            if remaining <= 0:
                 return None
             try:
-                await asyncio.wait_for(self._moved.wait(), left)
+                await asyncio.wait_for(self._engines_changed.wait(), remaining)
             except TimeoutError:
                 return None
 
     def _find_chain(
         self,
-        order: Order,
+        job: Order,
         avoided: frozenset[str],
     ) -> Chain | None:
-        links = self._upstreams.list_engines(order.name)
+        links = self._upstreams.list_engines(job.name)
         now = asyncio.get_running_loop().time()
-        usual = _find_usual(links, now)
-        offers = [
-            self._offer(link, usual[_range_of(link)], now)
+        typical = _find_typical_latencies(links, now)
+        candidates = [
+            self._make_candidate(link, typical[_layer_range(link)], now)
             for link in links
             if link.vm.name not in avoided
         ]
-        model = order.model
-        chosen = choose_chain(offers, model.layers, model.version, {})
+        model = job.model
+        chosen = choose_chain(candidates, model.layers, model.version, {})
         checked = chosen.and_then(
             lambda chain: check_chain(chain, model.layers, model.version)
         )
         return chosen.unwrap() if checked.is_ok() else None
 
-    def _offer(self, link: EngineLink, usual: float, now: float) -> Offer:
-        """Say what a step would cost on an engine.
+    def _make_candidate(
+        self, link: EngineLink, typical: float, now: float
+    ) -> Offer:
+        """Make a candidate of an engine, with the cost of a step on it.
 
-        Activations pass through this node, so what counts is how far each
-        engine is from it, not from the engine before.
+        Activations pass through this node. So the cost depends on the
+        distance of an engine to this node, not to the previous engine.
         """
         hello = link.hello
         if hello is None:
             raise ValueError(f'{link.vm.name} is not connected')
         cost = estimate_cost(
-            link.pace, usual, link.streams, link.waiting, hello.rate, now
+            link.latency_tracker,
+            typical,
+            link.streams,
+            link.waiting,
+            hello.rate,
+            now,
         )
-        far = 0 if link.vm.zone == self._zone else _HOP_SECONDS
-        return offer_engine(hello, link.vm.zone, cost + far)
+        zone_cost = 0 if link.vm.zone == self._zone else _CROSS_ZONE_SECONDS
+        return offer_engine(hello, link.vm.zone, cost + zone_cost)
 
-    async def _watch_pace(self) -> None:
-        """Move answers off engines that have become slow, a few at a time.
+    async def _watch_latency(self) -> None:
+        """Move answers off engines that have become slow.
 
-        A slow engine, or a link that loses packets, fails nothing; it shows
-        as some streams that crawl while others run. Each move costs a
-        prefill elsewhere, so moves come out of the budget of retries.
+        A slow engine, or a network path that loses packets, causes no error;
+        its streams only take longer than others. Each move costs a prefill
+        on other engines, so the retry budget limits the moves.
         """
         while True:
-            await asyncio.sleep(_PACE_SECONDS)
+            await asyncio.sleep(_SLOW_CHECK_SECONDS)
             now = asyncio.get_running_loop().time()
             links = [
                 link for link in self._upstreams.links.values() if link.usable
             ]
-            usual = _find_usual(links, now)
+            typical = _find_typical_latencies(links, now)
             for link in links:
-                if link.pace.is_slow(usual[_range_of(link)], now):
+                if link.latency_tracker.is_slow(
+                    typical[_layer_range(link)], now
+                ):
                     self._move_off(link)
 
     def _move_off(self, link: EngineLink) -> None:
         name = link.vm.name
-        users = [one for one in self._answers.values() if one.uses(name)]
-        for answer in users:
-            order = self._orders[answer.stream]
-            spare = self._find_chain(order, frozenset((name,)))
-            if spare is None or not self._budget.spend():
+        affected = [
+            running
+            for running in self._answers.values()
+            if running.runs_on(name)
+        ]
+        for answer in affected:
+            job = self._jobs[answer.stream]
+            alternative = self._find_chain(job, frozenset((name,)))
+            if alternative is None or not self._budget.spend():
                 return
             self._timeline.record(
                 catalogue.CHAIN_MOVED,
                 request=answer.stream,
                 upstream=name,
-                latency=round(link.pace.latency, 4),
+                latency=round(link.latency_tracker.latency, 4),
             )
-            answer.leave(name)
+            answer.move_off(name)
 
-    def _note_move(self) -> None:
-        self._moved.set()
+    def _wake_waiting(self) -> None:
+        self._engines_changed.set()
 
 
-def _range_of(link: EngineLink) -> tuple[int, int]:
+def _layer_range(link: EngineLink) -> tuple[int, int]:
     return (link.hello.first, link.hello.last) if link.hello else (0, 0)
 
 
-def _find_usual(
+def _find_typical_latencies(
     links: list[EngineLink],
     now: float,
 ) -> dict[tuple[int, int], float]:
-    """Find the usual latency for each range of layers."""
+    """Find the typical step latency for each range of layers."""
     by_range: dict[tuple[int, int], list[Pace]] = {}
     for link in links:
-        by_range.setdefault(_range_of(link), []).append(link.pace)
+        by_range.setdefault(_layer_range(link), []).append(link.latency_tracker)
     return {
-        layers: find_usual(paces, now) for layers, paces in by_range.items()
+        layers: find_usual(trackers, now)
+        for layers, trackers in by_range.items()
     }
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_delta.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_delta.py
@@ -12,17 +12,17 @@
 
 def make_delta(old: Bundle, new: Bundle) -> Delta:
     """Work out what a peer lacks that has the old revision in force."""
-    touched = diff_parts(old.index.parts, new.index.parts)
+    differing = diff_parts(old.index.parts, new.index.parts)
     changed = {
         path: new.index.parts[path]
-        for path in sorted(touched)
+        for path in sorted(differing)
         if path in new.index.parts
     }
     return Delta(
         old.index.revision,
         replace(new.index, parts={}),
         changed,
-        tuple(sorted(touched - changed.keys())),
+        tuple(sorted(differing - changed.keys())),
         {digest: new.blobs[digest] for digest in changed.values()},
     )
 
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_frames.py
@@ -40,7 +40,7 @@
     proof: bytes
 
 
-class Beat(_Frame, frozen=True, array_like=True, tag=3):
+class Heartbeat(_Frame, frozen=True, array_like=True, tag=3):
     """What a peer has to know all the time.
 
     :param wall: of the sender's hybrid clock, milliseconds.
@@ -56,25 +56,25 @@
     demands: dict[str, dict[str, int]]
 
 
-class Offered(_Frame, frozen=True, array_like=True, tag=4):
+class RevisionOffer(_Frame, frozen=True, array_like=True, tag=4):
     """A revision of the settings that the receiver may lack."""
 
     index: Index
 
 
-class Wanted(_Frame, frozen=True, array_like=True, tag=5):
+class PartsRequest(_Frame, frozen=True, array_like=True, tag=5):
     """Parts that the receiver of an index does not hold."""
 
     digests: tuple[str, ...]
 
 
-class Parts(_Frame, frozen=True, array_like=True, tag=6):
+class PartsReply(_Frame, frozen=True, array_like=True, tag=6):
     """The parts wanted."""
 
     blobs: dict[str, bytes]
 
 
-class Listing(_Frame, frozen=True, array_like=True, tag=7):
+class VmListing(_Frame, frozen=True, array_like=True, tag=7):
     """The VMs as the platform listed them."""
 
     vms: tuple[Vm, ...]
@@ -99,11 +99,11 @@
     Challenge
     | Join
     | Welcome
-    | Beat
-    | Offered
-    | Wanted
-    | Parts
-    | Listing
+    | Heartbeat
+    | RevisionOffer
+    | PartsRequest
+    | PartsReply
+    | VmListing
     | Delta
 )
 
@@ -142,6 +142,6 @@
     return msgspec.msgpack.encode(frame)
 
 
-def prove(key: str, nonce: bytes, name: str) -> bytes:
+def compute_proof(key: str, nonce: bytes, name: str) -> bytes:
     """Prove knowledge of the peers' key for a challenge."""
     return hmac.digest(key.encode(), nonce + name.encode(), hashlib.sha256)
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_handshake.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_handshake.py
@@ -8,7 +8,7 @@
 from ryelatch_node.peers import _frames as frames
 
 _NONCE_BYTES = 16
-_CHUNK = 4096
+_READ_BYTES = 4096
 
 
 class HandshakeError(Exception):
@@ -25,17 +25,17 @@
     :returns: its name, its availability zone, and the reader of its frames.
     :raises HandshakeError: if it has not the key.
     """
-    cutter = frames.FrameReader()
+    frame_reader = frames.FrameReader()
     nonce = os.urandom(_NONCE_BYTES)
     writer.write(frames.encode_frame(frames.Challenge(nonce)))
-    join = await _read_frame(reader, cutter)
+    join = await _read_frame(reader, frame_reader)
     if not isinstance(join, frames.Join):
         raise HandshakeError('no join')
-    _check(startup, nonce, join.name, join.proof)
-    proof = frames.prove(startup.peer_key, join.nonce, startup.name)
+    _check_proof(startup, nonce, join.name, join.proof)
+    proof = frames.compute_proof(startup.peer_key, join.nonce, startup.name)
     welcome = frames.Welcome(startup.name, startup.zone, proof)
     writer.write(frames.encode_frame(welcome))
-    return join.name, join.zone, cutter
+    return join.name, join.zone, frame_reader
 
 
 async def join_peer(
@@ -44,35 +44,39 @@
     startup: Startup,
 ) -> tuple[str, str, frames.FrameReader]:
     """Greet a node that was called; like :func:`accept_peer`."""
-    cutter = frames.FrameReader()
-    challenge = await _read_frame(reader, cutter)
+    frame_reader = frames.FrameReader()
+    challenge = await _read_frame(reader, frame_reader)
     if not isinstance(challenge, frames.Challenge):
         raise HandshakeError('no challenge')
     nonce = os.urandom(_NONCE_BYTES)
-    proof = frames.prove(startup.peer_key, challenge.nonce, startup.name)
+    proof = frames.compute_proof(
+        startup.peer_key, challenge.nonce, startup.name
+    )
     join = frames.Join(startup.name, startup.zone, nonce, proof)
     writer.write(frames.encode_frame(join))
-    welcome = await _read_frame(reader, cutter)
+    welcome = await _read_frame(reader, frame_reader)
     if not isinstance(welcome, frames.Welcome):
         raise HandshakeError('no welcome')
-    _check(startup, nonce, welcome.name, welcome.proof)
-    return welcome.name, welcome.zone, cutter
+    _check_proof(startup, nonce, welcome.name, welcome.proof)
+    return welcome.name, welcome.zone, frame_reader
 
 
 async def _read_frame(
     reader: asyncio.StreamReader,
-    cutter: frames.FrameReader,
+    frame_reader: frames.FrameReader,
 ) -> frames.Frame:
-    while chunk := await reader.read(_CHUNK):
-        frame = next(cutter.feed(chunk), None)
+    while chunk := await reader.read(_READ_BYTES):
+        frame = next(frame_reader.feed(chunk), None)
         if frame is not None:
             return frame
     raise HandshakeError('closed')
 
 
-def _check(startup: Startup, nonce: bytes, name: str, proof: bytes) -> None:
-    wanted = frames.prove(startup.peer_key, nonce, name)
-    if not hmac.compare_digest(wanted, proof):
+def _check_proof(
+    startup: Startup, nonce: bytes, name: str, proof: bytes
+) -> None:
+    expected = frames.compute_proof(startup.peer_key, nonce, name)
+    if not hmac.compare_digest(expected, proof):
         raise HandshakeError('wrong key')
     if name == startup.name:
         raise HandshakeError('own name')
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_service.py
@@ -21,10 +21,10 @@
 from ryelatch_node.peers._tls import make_client_tls, make_server_tls
 from ryelatch_node.upstreams import RosterChanged, Upstreams
 
-BEAT_SECONDS = 1.0
-SILENT_SECONDS = 3.5
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+PEER_TIMEOUT_SECONDS = 3.5
 DIAL_SECONDS = 1.0
-_CHUNK = 65536
+_READ_BYTES = 65536
 
 
 class Peers:
@@ -45,8 +45,10 @@
         self._holder.should_watch = self.should_watch
         self._upstreams.should_list = self.should_watch
         self._admission.count_nodes = self._count_nodes
-        app.hub.connect(SettingsApplied, lambda _: self._offer_all())
-        app.hub.connect(RosterChanged, lambda _: self._beat_all())
+        app.hub.connect(
+            SettingsApplied, lambda _: self._offer_settings_to_all()
+        )
+        app.hub.connect(RosterChanged, lambda _: self._send_heartbeats())
 
     async def start(self) -> None:
         """Listen, and keep dialling peers."""
@@ -57,8 +59,8 @@
             address.port,
             ssl=make_server_tls(self._startup.tls),
         )
-        self._keep(self._beat())
-        self._keep(self._dial_all())
+        self._spawn(self._run_heartbeat())
+        self._spawn(self._run_dialing())
 
     @property
     def port(self) -> int:
@@ -79,35 +81,35 @@
     def should_watch(self) -> bool:
         """Tell whether this node watches the store for its zone."""
         zone = self._startup.zone
-        near = [
+        zone_peers = [
             peer.name
             for peer in self.peers.values()
             if peer.zone == zone and not peer.draining
         ]
-        return should_watch(self._startup.name, near)
+        return should_watch(self._startup.name, zone_peers)
 
     def announce_drain(self) -> None:
         """Let peers take this node's duties over without a timeout."""
         self.draining = True
-        self._beat_all()
+        self._send_heartbeats()
 
     def _count_nodes(self) -> int:
         """Count the nodes that share the engines, as the platform lists."""
         return len(self._upstreams.roster.list_role('node'))
 
-    def _keep(self, work: Awaitable[None]) -> None:
+    def _spawn(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _beat(self) -> None:
+    async def _run_heartbeat(self) -> None:
         while True:
-            self._beat_all()
-            await asyncio.sleep(BEAT_SECONDS)
+            self._send_heartbeats()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    def _beat_all(self) -> None:
+    def _send_heartbeats(self) -> None:
         stamp = self._timeline.clock.stamp()
-        beat = frames.Beat(
+        heartbeat = frames.Heartbeat(
             stamp.wall,
             stamp.tick,
             self._holder.revision,
@@ -115,57 +117,57 @@
             self._upstreams.roster.list_leaving(),
             self._admission.list_demands(),
         )
-        self.bytes_sent += len(frames.encode_frame(beat)) * len(self.peers)
+        self.bytes_sent += len(frames.encode_frame(heartbeat)) * len(self.peers)
         vms = self._upstreams.list_vms()
         for peer in self.peers.values():
-            peer.send(beat)
+            peer.send(heartbeat)
             if peer.zone == self._startup.zone and peer.vms != vms:
                 peer.vms = vms
-                peer.send(frames.Listing(vms))
+                peer.send(frames.VmListing(vms))
 
-    def _offer_all(self) -> None:
+    def _offer_settings_to_all(self) -> None:
         for peer in self.peers.values():
-            self._offer(peer)
+            self._offer_settings(peer)
 
-    def _offer(self, peer: Peer) -> None:
+    def _offer_settings(self, peer: Peer) -> None:
         known = self._holder.previous.index.revision
         if peer.revision >= self._holder.revision:
             return
         if known and peer.revision == known:
             peer.send(make_delta(self._holder.previous, self._holder.bundle))
         else:
-            peer.send(frames.Offered(self._holder.bundle.index))
+            peer.send(frames.RevisionOffer(self._holder.bundle.index))
 
-    async def _dial_all(self) -> None:
-        dialled: dict[str, asyncio.Task[None]] = {}
+    async def _run_dialing(self) -> None:
+        dials: dict[str, asyncio.Task[None]] = {}
         for turn in itertools.count():
             for address, name in self._list_targets(late=turn > 1):
-                running = dialled.get(address)
+                running = dials.get(address)
                 if running is None or running.done():
-                    dialled[address] = asyncio.ensure_future(
+                    dials[address] = asyncio.ensure_future(
                         self._dial(address, name)
                     )
-                    self._tasks.add(dialled[address])
-                    dialled[address].add_done_callback(self._tasks.discard)
+                    self._tasks.add(dials[address])
+                    dials[address].add_done_callback(self._tasks.discard)
             await asyncio.sleep(DIAL_SECONDS)
 
     def _list_targets(self, *, late: bool) -> list[tuple[str, str]]:
         """List addresses to dial; of a pair, the lower name dials first."""
-        me = self._startup
+        startup = self._startup
         nodes = [vm for vm in self._upstreams.list_vms() if vm.role == 'node']
-        chosen = choose_peers(me.name, me.zone, nodes)
+        chosen = choose_peers(startup.name, startup.zone, nodes)
         targets = [
             (vm.address, vm.name)
             for vm in chosen
-            if vm.name not in self.peers and (late or me.name < vm.name)
+            if vm.name not in self.peers and (late or startup.name < vm.name)
         ]
         if not nodes:
             # Without the platform's list, as in an outage at the start, the
             # addresses in the start-up settings lead to the first peers.
             targets = [
                 (f'{seed.host}:{seed.port}', '')
-                for seed in me.seeds
-                if seed != me.peers
+                for seed in startup.seeds
+                if seed != startup.peers
             ]
         return targets
 
@@ -178,24 +180,28 @@
                 )
         except (OSError, TimeoutError):
             return
-        await self._run(reader, writer, join_peer)
+        await self._run_connection(reader, writer, join_peer)
 
     async def _accept(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self._keep(self._run(reader, writer, accept_peer))
+        self._spawn(self._run_connection(reader, writer, accept_peer))
 
-    async def _run(
+    async def _run_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        greet: Callable[..., Awaitable[tuple[str, str, frames.FrameReader]]],
+        handshake: Callable[
+            ..., Awaitable[tuple[str, str, frames.FrameReader]]
+        ],
     ) -> None:
         try:
-            async with asyncio.timeout(SILENT_SECONDS):
-                name, zone, cutter = await greet(reader, writer, self._startup)
+            async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
+                name, zone, frame_reader = await handshake(
+                    reader, writer, self._startup
+                )
         except (HandshakeError, frames.PeerFrameError) as error:
             self._timeline.record(catalogue.PEER_REFUSED, reason=error)
             writer.transport.abort()
@@ -203,18 +209,18 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             writer.transport.abort()
             return
-        peer = Peer(name, zone, writer, cutter)
+        peer = Peer(name, zone, writer, frame_reader)
         await self._serve(peer, reader)
 
     async def _serve(self, peer: Peer, reader: asyncio.StreamReader) -> None:
         self.peers[peer.name] = peer
         self._timeline.record(catalogue.PEER_UP, peer=peer.name)
-        self._beat_all()
+        self._send_heartbeats()
         reason = 'closed'
         try:
             while chunk := await self._read(reader):
                 for frame in peer.reader.feed(chunk):
-                    self._take(peer, frame)
+                    self._handle_frame(peer, frame)
         except TimeoutError:
             reason = 'silent'
         except (OSError, frames.PeerFrameError) as error:
@@ -222,29 +228,29 @@
         finally:
             peer.writer.transport.abort()
             if self.peers.get(peer.name) is peer:
-                self._drop(peer, reason)
+                self._remove_peer(peer, reason)
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
-        async with asyncio.timeout(SILENT_SECONDS):
-            return await reader.read(_CHUNK)
+        async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
+            return await reader.read(_READ_BYTES)
 
-    def _drop(self, peer: Peer, reason: str) -> None:
+    def _remove_peer(self, peer: Peer, reason: str) -> None:
         del self.peers[peer.name]
         self._timeline.record(
             catalogue.PEER_DOWN, peer=peer.name, reason=reason
         )
         self._admission.drop_peer(peer.name)
 
-    def _take(self, peer: Peer, frame: frames.Frame) -> None:
+    def _handle_frame(self, peer: Peer, frame: frames.Frame) -> None:
         match frame:
-            case frames.Beat():
-                self._take_beat(peer, frame)
-            case frames.Offered(index):
-                self._take_index(peer, index)
-            case frames.Wanted(digests):
+            case frames.Heartbeat():
+                self._apply_heartbeat(peer, frame)
+            case frames.RevisionOffer(index):
+                self._request_parts(peer, index)
+            case frames.PartsRequest(digests):
                 held = self._holder.bundle.blobs
                 peer.send(
-                    frames.Parts(
+                    frames.PartsReply(
                         {
                             digest: held[digest]
                             for digest in digests
@@ -252,36 +258,38 @@
                         }
                     )
                 )
-            case frames.Parts(blobs):
-                self._take_parts(peer, blobs)
+            case frames.PartsReply(blobs):
+                self._apply_parts(peer, blobs)
             case frames.Delta():
                 if frame.base == self._holder.revision:
                     merged = merge_delta(self._holder.bundle, frame)
                     self._holder.apply(merged, peer.name)
-            case frames.Listing(vms):
+            case frames.VmListing(vms):
                 if not self.should_watch():
-                    self._keep(self._upstreams.take_list(vms, settled=True))
+                    self._spawn(
+                        self._upstreams.apply_vm_list(vms, settled=True)
+                    )
 
-    def _take_beat(self, peer: Peer, beat: frames.Beat) -> None:
-        self._timeline.clock.observe(Stamp(beat.wall, beat.tick))
-        peer.revision = beat.revision
-        peer.draining = beat.draining
-        self._upstreams.apply_peer(peer.name, beat.leaving)
-        if beat.draining:
+    def _apply_heartbeat(self, peer: Peer, heartbeat: frames.Heartbeat) -> None:
+        self._timeline.clock.observe(Stamp(heartbeat.wall, heartbeat.tick))
+        peer.revision = heartbeat.revision
+        peer.draining = heartbeat.draining
+        self._upstreams.apply_peer(peer.name, heartbeat.leaving)
+        if heartbeat.draining:
             self._admission.drop_peer(peer.name)
         else:
-            self._admission.apply_peer(peer.name, beat.demands)
-        self._offer(peer)
+            self._admission.apply_peer(peer.name, heartbeat.demands)
+        self._offer_settings(peer)
 
-    def _take_index(self, peer: Peer, index: Index) -> None:
+    def _request_parts(self, peer: Peer, index: Index) -> None:
         if index.revision <= self._holder.revision:
             return
         peer.index = index
         held = self._holder.bundle.blobs
         missing = set(index.parts.values()) - held.keys()
-        peer.send(frames.Wanted(tuple(sorted(missing))))
+        peer.send(frames.PartsRequest(tuple(sorted(missing))))
 
-    def _take_parts(self, peer: Peer, blobs: dict[str, bytes]) -> None:
+    def _apply_parts(self, peer: Peer, blobs: dict[str, bytes]) -> None:
         if peer.index is None:
             return
         known = dict(self._holder.bundle.blobs) | blobs
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/__init__.py
@@ -1,6 +1,6 @@
-"""Links to engines, and which upstreams may get new work."""
+"""Connections to engines, and the upstreams that may get new work."""
 
-from ryelatch_node.upstreams._link import EngineLink, Sink
+from ryelatch_node.upstreams._link import EngineLink, StepHandler
 from ryelatch_node.upstreams._service import (
     LinkChanged,
     RosterChanged,
@@ -12,7 +12,7 @@
     'EngineLink',
     'LinkChanged',
     'RosterChanged',
-    'Sink',
+    'StepHandler',
     'Upstreams',
     'setup',
 ]
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
@@ -1,4 +1,4 @@
-"""The upstreams of this node, as a service."""
+"""The service ``upstreams``: the list of VMs and links to engines."""
 
 import asyncio
 import itertools
@@ -17,28 +17,35 @@
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams._link import EngineLink
 
-LIST_SECONDS = 1.0
+LIST_INTERVAL_SECONDS = 1.0
 _ENGINE = 'engine'
 _NODE = 'node'
-_SLOW_TURNS = 15
+_FALLBACK_TURNS = 15
 
 
 @dataclass(frozen=True)
 class LinkChanged:
-    """An engine connected, changed its ranges, or was lost."""
+    """Emitted when an engine connects, changes its layers, or is lost."""
 
     link: EngineLink
 
 
 @dataclass(frozen=True)
 class RosterChanged:
-    """VMs joined, left, or are leaving."""
+    """Emitted when VMs are leaving.
+
+    :param leaving: names of the VMs that are newly known to be leaving.
+    """
 
     leaving: tuple[str, ...] = ()
 
 
 class Upstreams:
-    """All upstreams that this node knows, with links to the engines."""
+    """All known upstreams, with links to the engines.
+
+    :param should_list: whether this node reads the platform's list at every
+        interval; the other nodes receive it from a peer.
+    """
 
     def __init__(self, app: App, timeline: Timeline) -> None:
         self.roster = Roster()
@@ -50,9 +57,9 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Read the list once, then follow it."""
-        # The library's default of 100 connections would leave a node with
-        # more engines waiting for a free one for good.
+        """Read the list of VMs once, then poll it."""
+        # By default, aiohttp allows 100 connections. Links hold theirs open,
+        # so further engines would wait for a free one forever.
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0)
         )
@@ -78,17 +85,17 @@
         ]
 
     def list_plain(self, role: str) -> list[Vm]:
-        """List the upstreams of a plain service that may get new work."""
+        """List the upstreams of a non-model service that may get new work."""
         return self.roster.list_role(role)
 
     def list_vms(self) -> tuple[Vm, ...]:
-        """List all VMs known, with what the platform said of them."""
+        """List all known VMs as the platform last listed them."""
         return tuple(member.vm for member in self.roster.members.values())
 
-    async def take_list(self, vms: Iterable[Vm], *, settled: bool) -> None:
-        """Take in a list of VMs.
+    async def apply_vm_list(self, vms: Iterable[Vm], *, settled: bool) -> None:
+        """Apply a list of VMs, and open and close links accordingly.
 
-        :param settled: a VM that is not in it is gone for certain.
+        :param settled: whether VMs missing from the list are certainly gone.
         """
         change = self.roster.apply_list(vms, settled=settled)
         self._announce(change.leaving, 'list')
@@ -101,12 +108,12 @@
                 await link.close()
 
     def note_leaving(self, name: str) -> None:
-        """Take the word of an upstream that it leaves."""
+        """Record that an upstream reports that it is leaving."""
         if self.roster.note_leaving(name):
             self._announce((name,), 'upstream')
 
     def apply_peer(self, peer: str, names: Iterable[str]) -> None:
-        """Take the word of a peer on who leaves."""
+        """Apply the upstreams that a peer reports to be leaving."""
         self._announce(self.roster.apply_peer(peer, names), 'peer')
 
     def _announce(self, names: tuple[str, ...], source: str) -> None:
@@ -123,43 +130,43 @@
 
     async def _follow(self) -> None:
         for turn in itertools.count(1):
-            await asyncio.sleep(LIST_SECONDS)
-            if self.should_list() or turn % _SLOW_TURNS == 0:
-                await asyncio.gather(self._read_list(), self._ask_health())
+            await asyncio.sleep(LIST_INTERVAL_SECONDS)
+            if self.should_list() or turn % _FALLBACK_TURNS == 0:
+                await asyncio.gather(self._read_list(), self._check_health())
 
     async def _read_list(self) -> None:
         found = await self._app.find('store', Store).list_vms()
         if found.is_ok():
-            await self.take_list(found.unwrap(), settled=False)
+            await self.apply_vm_list(found.unwrap(), settled=False)
 
-    async def _ask_health(self) -> None:
-        """Ask plain upstreams whether they leave.
+    async def _check_health(self) -> None:
+        """Check the health of non-model upstreams to find leaving ones.
 
-        Those in this availability zone, and in zones without a node, are
-        asked by the nodes that watch for the zone; peers hear of it.
+        The nodes that watch for an availability zone check the upstreams in
+        it and in zones without a node, and report leaving ones to the peers.
         """
         services = self._app.find('settings', SettingsHolder).settings.services
         zones = {vm.zone for vm in self.roster.list_role(_NODE)}
         zones.discard(self._app.find('startup', Startup).zone)
-        asked = [
-            self._ask_one(member.vm, service.health)
+        checks = [
+            self._check_vm_health(member.vm, service.health)
             for service in services.values()
             for member in self.roster.members.values()
             if member.vm.role == service.role and member.vm.zone not in zones
         ]
-        await asyncio.gather(*asked)
+        await asyncio.gather(*checks)
 
-    async def _ask_one(self, vm: Vm, path: str) -> None:
+    async def _check_vm_health(self, vm: Vm, path: str) -> None:
         if self._session is None:
             return
-        timeout = aiohttp.ClientTimeout(LIST_SECONDS)
+        timeout = aiohttp.ClientTimeout(LIST_INTERVAL_SECONDS)
         try:
             async with self._session.get(
                 f'http://{vm.address}{path}', timeout=timeout
             ) as response:
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
-            return  # a call that needs it finds out by itself
+            return  # A request to this upstream will fail by itself.
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
             self.note_leaving(vm.name)
         elif status == HTTPStatus.OK:
@@ -169,12 +176,12 @@
         known = self.links.pop(vm.name, None)
         if known is not None:
             await known.close()
-        link = EngineLink(vm, self._note_link, self._note_stray)
+        link = EngineLink(vm, self._handle_link_change, self._record_unmatched)
         self.links[vm.name] = link
         if self._session is not None:
             link.start(self._session)
 
-    def _note_link(self, link: EngineLink, reason: str) -> None:
+    def _handle_link_change(self, link: EngineLink, reason: str) -> None:
         name = link.vm.name
         if link.hello is None:
             self._timeline.record(
@@ -192,7 +199,7 @@
             )
         self._app.hub.emit(LinkChanged(link))
 
-    def _note_stray(self, link: EngineLink, key: StepKey) -> None:
+    def _record_unmatched(self, link: EngineLink, key: StepKey) -> None:
         self._timeline.record(
             catalogue.FRAME_DROPPED,
             upstream=link.vm.name,
