--- a/packages/ryelatch-node/src/ryelatch_node/config/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/_service.py
@@ -23,7 +23,7 @@
 
 WATCH_SECONDS = 3.0
 RETRY_SECONDS = 0.5
-POLL_SECONDS = 15.0
+POLL_INTERVAL_SECONDS = 15.0
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
 
     async def start(self) -> None:
         """Read the store once, then follow it."""
-        await self._read_store()
+        await self._read_root()
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
@@ -104,29 +104,29 @@
         store = self._app.find('store', Store)
         while True:
             if not self.should_watch():
-                await self._wait_poll()
-                await self._read_store()
+                await self._wait_for_poll()
+                await self._read_root()
                 continue
             version = self._version or '0'
             found = await store.watch(ROOT_KEY, version, WATCH_SECONDS)
             if found.is_ok():
-                await self._take_root(found.unwrap())
+                await self._apply_root(found.unwrap())
             elif found.unwrap_err() is not StoreError.UNCHANGED:
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _wait_poll(self) -> None:
+    async def _wait_for_poll(self) -> None:
         """Wait for the next poll, or until this node has to watch."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + POLL_SECONDS
+        due = loop.time() + POLL_INTERVAL_SECONDS
         while loop.time() < due and not self.should_watch():
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def _read_store(self) -> None:
+    async def _read_root(self) -> None:
         found = await self._app.find('store', Store).get(ROOT_KEY)
         if found.is_ok():
-            await self._take_root(found.unwrap())
+            await self._apply_root(found.unwrap())
 
-    async def _take_root(self, entry: Entry) -> None:
+    async def _apply_root(self, entry: Entry) -> None:
         try:
             index = msgspec.msgpack.decode(entry.body, type=Index)
         except msgspec.MsgspecError:
@@ -137,12 +137,12 @@
         if not should_apply(self.revision, index.revision):
             self._version = entry.version
             return
-        bundle = await self._fetch(index)
+        bundle = await self._fetch_bundle(index)
         if bundle is not None:
             self._version = entry.version
             self.apply(bundle, 'store')
 
-    async def _fetch(self, index: Index) -> Bundle | None:
+    async def _fetch_bundle(self, index: Index) -> Bundle | None:
         """Fetch the parts that this node does not hold yet."""
         store = self._app.find('store', Store)
         blobs: dict[str, bytes] = {}
--- a/packages/ryelatch-node/src/ryelatch_node/peers/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Streams between nodes: settings, leaving upstreams, demand."""
+"""Streams between nodes for settings, leaving upstreams and demand."""
 
 from ryelatch_node.peers._service import Peers, setup
 
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_delta.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_delta.py
@@ -1,7 +1,8 @@
-"""Changes between two revisions, as peers pass them on.
+"""Differences between two revisions of the settings, sent between peers.
 
-The index of a large tree is tens of kilobytes, and a change concerns a part
-or two; passed on whole it would be most of what a node sends.
+The index of a large tree has tens of kilobytes, while a change usually
+concerns one or two parts. Complete indexes would be most of what a node
+sends.
 """
 
 from dataclasses import replace
@@ -11,7 +12,7 @@
 
 
 def make_delta(old: Bundle, new: Bundle) -> Delta:
-    """Work out what a peer lacks that has the old revision in force."""
+    """Compute the delta for a peer that has the old revision in force."""
     differing = diff_parts(old.index.parts, new.index.parts)
     changed = {
         path: new.index.parts[path]
@@ -28,9 +29,9 @@
 
 
 def merge_delta(old: Bundle, delta: Delta) -> Bundle:
-    """Make the new revision from the old one and what changed.
+    """Make the new revision from the old one and a delta.
 
-    Contents are checked against their digests when the bundle is applied.
+    Applying the bundle later checks the contents against their digests.
     """
     parts = {
         path: digest
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_frames.py
@@ -1,4 +1,4 @@
-"""The frames between nodes, as a stream of msgpack arrays."""
+"""Frames between nodes, a stream of msgpack arrays."""
 
 import hashlib
 import hmac
@@ -14,17 +14,25 @@
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Common form of all frames."""
+    """Base class of all frames."""
 
 
 class Challenge(_Frame, frozen=True, array_like=True, tag=0):
-    """What the other side has to prove its key with."""
+    """Challenge of the node that accepted the connection.
+
+    :param nonce: random bytes, to be covered by the proof.
+    """
 
     nonce: bytes
 
 
 class Join(_Frame, frozen=True, array_like=True, tag=1):
-    """Who calls, with its proof and a challenge of its own."""
+    """Response of the connecting node, with a challenge in return.
+
+    :param name: name of the connecting node.
+    :param nonce: random bytes, to be covered by the proof of the other node.
+    :param proof: proof for the nonce of :class:`Challenge`.
+    """
 
     name: str
     zone: str
@@ -33,7 +41,11 @@
 
 
 class Welcome(_Frame, frozen=True, array_like=True, tag=2):
-    """Who was called, with its proof."""
+    """Response of the accepting node, which completes the handshake.
+
+    :param name: name of the accepting node.
+    :param proof: proof for the nonce of :class:`Join`.
+    """
 
     name: str
     zone: str
@@ -41,10 +53,14 @@
 
 
 class Heartbeat(_Frame, frozen=True, array_like=True, tag=3):
-    """What a peer has to know all the time.
-
-    :param wall: of the sender's hybrid clock, milliseconds.
-    :param leaving: upstreams known first-hand to be leaving.
+    """State that a node sends to each peer regularly and on changes.
+
+    :param wall: milliseconds of the sender's hybrid clock.
+    :param tick: logical part of that clock.
+    :param revision: revision of the settings in force.
+    :param draining: whether the sender is shutting down.
+    :param leaving: upstreams that reported to the sender, or are in its list,
+        as leaving.
     :param demands: requests running or waiting, by model and account.
     """
 
@@ -57,35 +73,37 @@
 
 
 class RevisionOffer(_Frame, frozen=True, array_like=True, tag=4):
-    """A revision of the settings that the receiver may lack."""
+    """Offers a revision of the settings that the receiver may lack."""
 
     index: Index
 
 
 class PartsRequest(_Frame, frozen=True, array_like=True, tag=5):
-    """Parts that the receiver of an index does not hold."""
+    """Requests the parts of an offered revision that a node lacks."""
 
     digests: tuple[str, ...]
 
 
 class PartsReply(_Frame, frozen=True, array_like=True, tag=6):
-    """The parts wanted."""
+    """The requested parts, by digest."""
 
     blobs: dict[str, bytes]
 
 
-class VmListing(_Frame, frozen=True, array_like=True, tag=7):
-    """The VMs as the platform listed them."""
+class VmList(_Frame, frozen=True, array_like=True, tag=7):
+    """The VMs in the platform's list."""
 
     vms: tuple[Vm, ...]
 
 
 class Delta(_Frame, frozen=True, array_like=True, tag=8):
-    """What changed from one revision to the next, with its contents.
+    """Difference between two revisions, with the contents of new parts.
 
-    :param base: the revision that the receiver has in force.
-    :param index: of the new revision, without its parts.
+    :param base: revision that the receiver has in force.
+    :param index: index of the new revision, without its parts.
     :param changed: digests of the parts added or changed, by path.
+    :param removed: paths of the parts removed.
+    :param blobs: contents of the changed parts, by digest.
     """
 
     base: int
@@ -103,20 +121,20 @@
     | RevisionOffer
     | PartsRequest
     | PartsReply
-    | VmListing
+    | VmList
     | Delta
 )
 
 
 class PeerFrameError(Exception):
-    """Bytes that are not frames of a peer."""
+    """The received bytes are not valid frames."""
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames.
+    """Splits a stream of bytes into frames.
 
-    Anyone may connect to the peer port; nesting, sizes and types are bounded
-    here, before any frame is looked at.
+    Anyone can connect to the peer port. So nesting, sizes and types are
+    checked here, before any frame is used.
     """
 
     def __init__(self) -> None:
@@ -125,9 +143,9 @@
         )
 
     def feed(self, chunk: bytes) -> Iterator[Frame]:
-        """Take in bytes and give the frames that are whole.
+        """Add bytes and yield the frames that are complete.
 
-        :raises PeerFrameError: if the bytes are anything else.
+        :raises PeerFrameError: if the bytes are not valid frames.
         """
         try:
             self._unpacker.feed(chunk)
@@ -143,5 +161,9 @@
 
 
 def compute_proof(key: str, nonce: bytes, name: str) -> bytes:
-    """Prove knowledge of the peers' key for a challenge."""
+    """Compute the proof that a node has the peers' key.
+
+    :param nonce: challenge of the other node.
+    :param name: name of the node that gives the proof.
+    """
     return hmac.digest(key.encode(), nonce + name.encode(), hashlib.sha256)
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_handshake.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_handshake.py
@@ -1,4 +1,4 @@
-"""How two nodes prove to each other that they hold the same key."""
+"""Handshake in which two nodes prove that they have the same key."""
 
 import asyncio
 import hmac
@@ -12,7 +12,7 @@
 
 
 class HandshakeError(Exception):
-    """The other side is no peer."""
+    """The other side is not a valid peer."""
 
 
 async def accept_peer(
@@ -20,10 +20,10 @@
     writer: asyncio.StreamWriter,
     startup: Startup,
 ) -> tuple[str, str, frames.FrameReader]:
-    """Greet a node that called.
+    """Perform the handshake with a node that connected to this one.
 
     :returns: its name, its availability zone, and the reader of its frames.
-    :raises HandshakeError: if it has not the key.
+    :raises HandshakeError: if it doesn't prove that it has the key.
     """
     frame_reader = frames.FrameReader()
     nonce = os.urandom(_NONCE_BYTES)
@@ -43,7 +43,10 @@
     writer: asyncio.StreamWriter,
     startup: Startup,
 ) -> tuple[str, str, frames.FrameReader]:
-    """Greet a node that was called; like :func:`accept_peer`."""
+    """Perform the handshake with a node that this one connected to.
+
+    Results and errors are those of :func:`accept_peer`.
+    """
     frame_reader = frames.FrameReader()
     challenge = await _read_frame(reader, frame_reader)
     if not isinstance(challenge, frames.Challenge):
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_service.py
@@ -1,4 +1,4 @@
-"""Peers as a service: who is connected, and what they tell."""
+"""The service ``peers``: streams to other nodes and their frames."""
 
 import asyncio
 import itertools
@@ -28,7 +28,12 @@
 
 
 class Peers:
-    """Streams to other nodes."""
+    """Streams to other nodes.
+
+    Nodes exchange heartbeats, revisions of the settings and lists of VMs.
+    Only a few nodes of each availability zone watch the store for these; the
+    others receive them from peers.
+    """
 
     def __init__(self, app: App, startup: Startup) -> None:
         self.peers: dict[str, Peer] = {}
@@ -51,7 +56,7 @@
         app.hub.connect(RosterChanged, lambda _: self._send_heartbeats())
 
     async def start(self) -> None:
-        """Listen, and keep dialling peers."""
+        """Listen for peers, and start dialling them."""
         address = self._startup.peers
         self._server = await asyncio.start_server(
             self._accept,
@@ -64,13 +69,13 @@
 
     @property
     def port(self) -> int:
-        """The port where peers connect; the system may have chosen it."""
+        """The port for peers; the operating system may have chosen it."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def stop(self) -> None:
-        """Tell peers that this node stops, and close the streams."""
+        """Announce the shutdown to the peers, and close the streams."""
         self.announce_drain()
         if self._server is not None:
             self._server.close()
@@ -89,12 +94,12 @@
         return should_watch(self._startup.name, zone_peers)
 
     def announce_drain(self) -> None:
-        """Let peers take this node's duties over without a timeout."""
+        """Announce the drain, so that peers take over without a timeout."""
         self.draining = True
         self._send_heartbeats()
 
     def _count_nodes(self) -> int:
-        """Count the nodes that share the engines, as the platform lists."""
+        """Count the nodes in the platform's list; they share the engines."""
         return len(self._upstreams.roster.list_role('node'))
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -123,17 +128,17 @@
             peer.send(heartbeat)
             if peer.zone == self._startup.zone and peer.vms != vms:
                 peer.vms = vms
-                peer.send(frames.VmListing(vms))
+                peer.send(frames.VmList(vms))
 
     def _offer_settings_to_all(self) -> None:
         for peer in self.peers.values():
             self._offer_settings(peer)
 
     def _offer_settings(self, peer: Peer) -> None:
-        known = self._holder.previous.index.revision
+        previous = self._holder.previous.index.revision
         if peer.revision >= self._holder.revision:
             return
-        if known and peer.revision == known:
+        if previous and peer.revision == previous:
             peer.send(make_delta(self._holder.previous, self._holder.bundle))
         else:
             peer.send(frames.RevisionOffer(self._holder.bundle.index))
@@ -152,7 +157,12 @@
             await asyncio.sleep(DIAL_SECONDS)
 
     def _list_targets(self, *, late: bool) -> list[tuple[str, str]]:
-        """List addresses to dial; of a pair, the lower name dials first."""
+        """List addresses and names of the nodes to dial.
+
+        :param late: whether to dial nodes with lower names too. In the first
+            rounds only the node with the lower name of a pair dials, so that
+            the two don't connect to each other at once.
+        """
         startup = self._startup
         nodes = [vm for vm in self._upstreams.list_vms() if vm.role == 'node']
         chosen = choose_peers(startup.name, startup.zone, nodes)
@@ -162,8 +172,9 @@
             if vm.name not in self.peers and (late or startup.name < vm.name)
         ]
         if not nodes:
-            # Without the platform's list, as in an outage at the start, the
-            # addresses in the start-up settings lead to the first peers.
+            # Without the platform's list, for example in an outage at the
+            # start, the first peers are found by the addresses in the start-up
+            # settings.
             targets = [
                 (f'{seed.host}:{seed.port}', '')
                 for seed in startup.seeds
@@ -264,7 +275,7 @@
                 if frame.base == self._holder.revision:
                     merged = merge_delta(self._holder.bundle, frame)
                     self._holder.apply(merged, peer.name)
-            case frames.VmListing(vms):
+            case frames.VmList(vms):
                 if not self.should_watch():
                     self._spawn(
                         self._upstreams.apply_vm_list(vms, settled=True)
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_stream.py
@@ -1,4 +1,4 @@
-"""An open stream to another node."""
+"""An open stream to a peer."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,11 +12,12 @@
 
 @dataclass
 class Peer:
-    """What is known of a node by its stream, and the way to tell it more.
+    """A connected peer: its last reported state and the stream to it.
 
-    :param revision: of the settings that it has.
-    :param index: of settings whose parts it is to send.
-    :param vms: that it was told of last.
+    :param revision: revision of the settings that the peer has in force.
+    :param draining: whether the peer is shutting down.
+    :param index: index of an offered revision whose parts were requested.
+    :param vms: VMs that were last sent to the peer.
     """
 
     name: str
@@ -31,8 +32,9 @@
     def send(self, frame: frames.Frame) -> None:
         """Queue a frame.
 
-        A peer that reads nothing would let the outbox grow until this node
-        has no memory left; its stream is cut instead, and dialled again.
+        With a peer that stops reading, the write buffer would grow until
+        this node runs out of memory. So its stream is aborted beyond a
+        limit, and then dialled again.
         """
         transport = self.writer.transport
         if transport.get_write_buffer_size() > _OUTBOX_BYTES:
--- a/packages/ryelatch-node/src/ryelatch_node/peers/_tls.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peers/_tls.py
@@ -1,4 +1,4 @@
-"""Contexts for streams between nodes that are encrypted."""
+"""TLS contexts for streams between nodes."""
 
 import ssl
 
@@ -6,7 +6,7 @@
 
 
 def make_server_tls(tls: Tls | None) -> ssl.SSLContext | None:
-    """Make what a node needs to accept others; nothing without settings."""
+    """Make the context for incoming streams; nothing without settings."""
     if tls is None:
         return None
     context = ssl.create_default_context(
@@ -18,11 +18,12 @@
 
 
 def make_client_tls(tls: Tls | None) -> ssl.SSLContext | None:
-    """Make what a node needs to dial others; nothing without settings."""
+    """Make the context for outgoing streams; nothing without settings."""
     if tls is None:
         return None
     context = ssl.create_default_context(cafile=tls.authority)
     context.load_cert_chain(tls.certificate, tls.key)
-    # Peers are named by address; that the authority signed is what counts.
+    # Peers are dialled by address, which their certificates needn't name.
+    # A certificate signed by the authority is sufficient.
     context.check_hostname = False
     return context
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
@@ -52,7 +52,7 @@
     fenced: bool
 
 
-FIXED = (
+RESTART_ONLY = (
     'name',
     'zone',
     'front',
@@ -88,6 +88,10 @@
         that wait for a start.
     """
     waiting = tuple(
-        name for name in FIXED if getattr(old, name) != getattr(new, name)
+        name
+        for name in RESTART_ONLY
+        if getattr(old, name) != getattr(new, name)
     )
-    return new._replace(**{name: getattr(old, name) for name in FIXED}), waiting
+    return new._replace(
+        **{name: getattr(old, name) for name in RESTART_ONLY}
+    ), waiting
--- a/packages/ryelatch-node/src/ryelatch_node/store/_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_client.py
@@ -15,8 +15,8 @@
 from ryelatch_core.membership import Vm
 from ryelatch_core.settings import Platform
 
-_MAX_ANSWER = 4_194_304
-_LONGEST_WATCH = 5.0
+_MAX_RESPONSE_BYTES = 4_194_304
+_MAX_WATCH_SECONDS = 5.0
 
 _Decoded = TypeVar('_Decoded')
 
@@ -57,7 +57,7 @@
 )
 
 
-def _ignore(*, answered: bool) -> None:
+def _ignore_result(*, answered: bool) -> None:
     """Take note of nothing."""
 
 
@@ -65,16 +65,16 @@
     """Calls to the platform.
 
     :param platform: where it is and how long one call may take.
-    :param note: told after each call whether the platform answered.
+    :param on_call: told after each call whether the platform answered.
     """
 
     def __init__(
         self,
         platform: Platform,
-        note: Callable[..., None] = _ignore,
+        on_call: Callable[..., None] = _ignore_result,
     ) -> None:
         self._platform = platform
-        self._note = note
+        self._on_call = on_call
         self._session: aiohttp.ClientSession | None = None
         self._retiring: dict[aiohttp.ClientSession, asyncio.Task[None]] = {}
         self._list: list[Vm] = []
@@ -103,7 +103,7 @@
         :param wait: seconds after which the platform answers anyway.
         """
         path = f'watch/{key}?after={after}&wait={wait}'
-        return await self._call('GET', path, patience=wait)
+        return await self._call('GET', path, extra_wait=wait)
 
     async def create(self, key: str, body: bytes) -> Result[Entry, StoreError]:
         """Create an object if there is none."""
@@ -146,9 +146,9 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        patience: float = 0,
+        extra_wait: float = 0,
     ) -> Result[Entry, StoreError]:
-        timeout = aiohttp.ClientTimeout(self._platform.timeout + patience)
+        timeout = aiohttp.ClientTimeout(self._platform.timeout + extra_wait)
         session = self._open()
         try:
             async with session.request(
@@ -158,18 +158,18 @@
                 headers=headers,
                 timeout=timeout,
             ) as response:
-                content = await response.content.read(_MAX_ANSWER)
+                content = await response.content.read(_MAX_RESPONSE_BYTES)
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._replace_session(session)
-            self._note(answered=False)
+            self._on_call(answered=False)
             return Err(StoreError.OUT)
         if response.status in _REASONS:
-            self._note(answered=True)
+            self._on_call(answered=True)
             return Err(_REASONS[HTTPStatus(response.status)])
         if response.status >= HTTPStatus.BAD_REQUEST:
-            self._note(answered=False)
+            self._on_call(answered=False)
             return Err(StoreError.OUT)
-        self._note(answered=True)
+        self._on_call(answered=True)
         version = response.headers.get('ETag', '').strip('"')
         return Ok(Entry(content, version))
 
@@ -180,7 +180,7 @@
             )
         return self._session
 
-    def _replace_session(self, silent: aiohttp.ClientSession) -> None:
+    def _replace_session(self, unresponsive: aiohttp.ClientSession) -> None:
         """Use new connections after one gave no answer.
 
         Something between the ends can lose track of open connections, which
@@ -189,13 +189,13 @@
         pool. After the first, none of them is used again; calls that still
         wait on them, such as a watch, come to their own end.
         """
-        if self._session is silent:
+        if self._session is unresponsive:
             self._session = None
-            task = asyncio.create_task(self._retire(silent))
-            self._retiring[silent] = task
+            task = asyncio.create_task(self._retire(unresponsive))
+            self._retiring[unresponsive] = task
 
     async def _retire(self, session: aiohttp.ClientSession) -> None:
-        await asyncio.sleep(self._platform.timeout + _LONGEST_WATCH)
+        await asyncio.sleep(self._platform.timeout + _MAX_WATCH_SECONDS)
         await session.close()
         del self._retiring[session]
 
--- a/packages/ryelatch-node/src/ryelatch_node/store/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_service.py
@@ -12,19 +12,19 @@
     """Add the service ``store``."""
     startup = app.find('startup', Startup)
     timeline = app.find('timeline', Timeline)
-    store = Store(startup.platform, _note_changes(timeline))
+    store = Store(startup.platform, _make_outage_recorder(timeline))
     app.add(Service('store', store, ('timeline',), stop=store.close))
 
 
-def _note_changes(timeline: Timeline) -> Callable[..., None]:
+def _make_outage_recorder(timeline: Timeline) -> Callable[..., None]:
     """Record when the platform stops answering and when it is back."""
-    up = True
+    available = True
 
-    def note(*, answered: bool) -> None:
-        nonlocal up
-        if answered != up:
+    def record_call(*, answered: bool) -> None:
+        nonlocal available
+        if answered != available:
             kind = catalogue.STORE_BACK if answered else catalogue.STORE_OUT
             timeline.record(kind)
-        up = answered
+        available = answered
 
-    return note
+    return record_call
