--- a/packages/ryelatch-node/src/ryelatch_node/config/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/__init__.py
@@ -1,4 +1,4 @@
-"""The settings in force on this node, and how they get here."""
+"""The settings in force on this node, kept up to date."""
 
 from ryelatch_node.config._service import (
     SettingsApplied,
--- a/packages/ryelatch-node/src/ryelatch_node/config/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/_service.py
@@ -1,4 +1,4 @@
-"""Holds the settings in force and follows newer revisions."""
+"""The service ``settings``: holds the settings and applies revisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True)
 class SettingsApplied:
-    """A revision is in force on this node."""
+    """Emitted when a revision has come into force on this node.
+
+    :param source: ``store``, or the name of the peer that sent it.
+    """
 
     bundle: Bundle
     source: str
@@ -37,8 +40,11 @@
 class SettingsHolder:
     """The settings in force.
 
+    :param previous: the revision in force before the current one.
     :param should_watch: whether this node is one of those in its
-        availability zone that watch the store; the others hear from peers.
+        availability zone that watch the store; the others receive revisions
+        from peers.
+    :param confirmed: whether the store has been read since the start.
     """
 
     def __init__(self, app: App, timeline: Timeline) -> None:
@@ -55,22 +61,23 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 before any is known."""
+        """Number of the revision in force; 0 if there is none yet."""
         return self.bundle.index.revision
 
     async def start(self) -> None:
-        """Read the store once, then follow it."""
+        """Read the store once, then watch or poll it."""
         await self._read_root()
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop watching and polling."""
         await cancel_task(self._task)
 
     def apply(self, bundle: Bundle, source: str) -> bool:
-        """Put a revision in force, whole or not at all, if it is newer.
+        """Put a newer revision in force, if it is complete and valid.
 
         :param source: ``store``, or the name of the peer that sent it.
+        :returns: whether it is in force now.
         """
         revision = bundle.index.revision
         if not should_apply(self.revision, revision):
@@ -143,7 +150,10 @@
             self.apply(bundle, 'store')
 
     async def _fetch_bundle(self, index: Index) -> Bundle | None:
-        """Fetch the parts that this node does not hold yet."""
+        """Fetch the parts that this node lacks, and make the bundle.
+
+        :returns: nothing if a part can't be read.
+        """
         store = self._app.find('store', Store)
         blobs: dict[str, bytes] = {}
         for digest in set(index.parts.values()):
--- a/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
@@ -1,4 +1,4 @@
-"""What a relaying node asks of the platform that it runs on."""
+"""Interfaces between a relaying node and the platform it runs on."""
 
 from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
 from ryelatch_node.ports._orders import (
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_leases.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_leases.py
@@ -1,4 +1,4 @@
-"""Where leases on duties are kept."""
+"""Interface to the store of leases."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 class LeaseRecord:
     """A lease as the store holds it.
 
-    :param lease: nothing if nobody ever held it.
-    :param revision: of the record; a write under the condition that it is
-        unchanged succeeds once.
-    :param after: the revision that this record replaced.
+    :param lease: nothing if it was never held.
+    :param revision: revision of the record. Of several writes that require
+        the same revision, only one succeeds.
+    :param after: revision that this record replaced.
     """
 
     lease: Lease | None
@@ -23,10 +23,15 @@
 
 @dataclass(frozen=True)
 class LeaseStore:
-    """Conditional writes of the one lease of a duty.
+    """Conditional writes of the placement lease.
 
-    Whoever follows the store tells the duty of each change of the record.
+    Changes of the record reach the placement controller by another way, from
+    the component that watches the store.
     """
 
     write: Callable[[Lease, int], Awaitable[LeaseRecord | None]]
-    """What the store then holds, this or another's; nothing if unknown."""
+    """Write a lease if the record still has a revision.
+
+    Results in the record then stored, which may be another node's; nothing if
+    the outcome is unknown.
+    """
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and their reports."""
+"""Interface for commands to replicas, and for their reports."""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -8,31 +8,33 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """Result of a command to a replica."""
 
     BEGUN = 'begun'
     HELD = 'held'
-    """The state that was ordered is there already."""
+    """The replica is already in the requested state."""
 
     CONFLICT = 'conflict'
     """The replica is in another state than expected."""
 
     FENCED = 'fenced'
-    """Another node has given orders under a higher fencing number."""
+    """Another node has sent commands with a higher fencing number."""
 
     MISSING = 'missing'
-    """The address belongs to another replica, or the request has ended."""
+    """The address belongs to another replica, or the request is finished."""
 
     REFUSED = 'refused'
     UNANSWERED = 'unanswered'
-    """It may be carried out, now or seconds later."""
+    """The replica may still execute the command, even seconds later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """What an engine says that it holds.
+    """Layers that an engine has loaded, by its own report.
 
-    :param born: when this life of it began, in milliseconds; 0 if not said.
+    :param layers: nothing if it has none.
+    :param born: start time of its current incarnation in milliseconds; 0 if
+        not reported.
     """
 
     layers: LayerRange | None
@@ -41,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """An engine's state, as of some hundred milliseconds ago.
+    """State that an engine reports; some hundred milliseconds old.
 
-    :param sequence: orders that it has begun since its start.
-    :param busy: whether it carries one out.
-    :param used: share of its request memory that is taken.
+    :param sequence: number of commands that it has begun since its start.
+    :param busy: whether it is executing a command.
+    :param used: fraction of its request memory in use.
     :param stalled: addresses of replicas that its requests wait for, by the
         identity of the request.
-    :param holding: nothing if it does not say what it holds.
-    :param pace: factor by which its passes take longer than those of its
-        kind of accelerator.
+    :param holding: nothing if it doesn't report its layers.
+    :param pace: step-time factor: how many times as long its passes take as
+        is normal for its kind of accelerator.
     """
 
     sequence: int
@@ -63,9 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveAnswer:
-    """What became of an order to move a request.
+    """Result of a command to move a request to another path.
 
-    :param fault: address of the replica that a refusal names, if any.
+    :param fault: address of the replica that caused a refusal, if it is
+        named.
     """
 
     result: OrderResult
@@ -77,23 +80,23 @@
 
     LISTENS = 'listens'
     REFUSED = 'refused'
-    """Nothing does: the process that did has ended."""
+    """Connections are refused, so the replica's process has crashed."""
 
     UNKNOWN = 'unknown'
-    """No word came; the way there may be cut."""
+    """There was no response; the network path may be broken."""
 
 
 @dataclass(frozen=True)
 class Orders:
-    """Calls to engines."""
+    """Calls to replicas."""
 
     place: Callable[[Replica, LayerRange, int, int], Awaitable[OrderResult]]
-    """Replica, layers, fencing number, expected sequence."""
+    """Load layers: replica, layers, fencing number, expected sequence."""
 
     move: Callable[[Replica, str, tuple[Stage, ...]], Awaitable[MoveAnswer]]
-    """First replica, identity of the request, its new path."""
+    """Move a request: first replica, identity of the request, new path."""
 
     read_report: Callable[[Replica], Awaitable[Report | None]]
 
     reach: Callable[[Replica], Awaitable[Reach]]
-    """Opens a connection and closes it; nothing is asked."""
+    """Open a connection and close it without sending a request."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
@@ -1,4 +1,4 @@
-"""Where ends of replicas are kept for all nodes."""
+"""Interface to the store of crash counts, shared by all nodes."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What became of a write.
+    """Result of a write.
 
-    :param answered: whether the store answered; else it may have taken
-        effect, or may yet.
-    :param stored: what it then holds, this or another node's; nothing if
-        there is no such object.
+    :param answered: whether the store responded; otherwise the write may
+        have taken effect, or may do so later.
+    :param stored: object then in the store, which may be another node's;
+        nothing if there is none.
     """
 
     answered: bool
@@ -22,10 +22,11 @@
 
 @dataclass(frozen=True)
 class QuarantineStore:
-    """Conditional writes of what is known of a request.
+    """Conditional writes of the crashes counted for a request.
 
-    Whoever follows the store tells of each change, this node's included.
+    Changes, including those made by this node, are reported by the component
+    that watches the store.
     """
 
     carry_out: Callable[[Step], Awaitable[StepResult]]
-    """Make the store hold, or delete, what the step says."""
+    """Create, replace or delete the object, if it is unchanged."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
@@ -1,11 +1,11 @@
-"""What a process is told at its start."""
+"""Start-up settings of a relaying node, and events on changes."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class Address(NamedTuple):
-    """Where something listens."""
+    """Host and port on which a server listens."""
 
     host: str
     port: int
@@ -14,22 +14,25 @@
 class RelayStartup(NamedTuple):
     """Start-up settings of a relaying node; times in seconds.
 
-    :param front: where clients connect.
-    :param readiness: where the balancer asks whether this node is ready.
-    :param metrics: where metrics are read.
-    :param peers: where other nodes ask this one.
-    :param link_mbps: of this VM's link.
-    :param store: where the platform's store is.
+    :param front: address for clients.
+    :param readiness: address for the load balancer's readiness checks.
+    :param metrics: address for reading metrics.
+    :param peers: address for requests of other nodes.
+    :param link_mbps: bandwidth of this VM's network link.
+    :param store: address of the platform's store.
     :param retry_ratio: retries allowed for each request, over all nodes.
-    :param retry_extra: retries allowed besides in each window.
+    :param retry_extra: additional retries allowed in each window.
     :param retry_window: length of that window.
-    :param grace: from a signal to stop to the end of the process.
-    :param revoke_seconds: after which a revoked key must not be accepted.
-    :param drain_seconds: for which upstreams that leave may get requests.
-    :param steady_seconds: after some trouble, the platform's or a VM's, for
-        which nodes are not held to such bounds.
-    :param stall_seconds: after which upstreams give up on a lost one.
-    :param fenced: whether upstreams refuse orders with old fencing numbers.
+    :param grace: time from the signal to stop until the process must have
+        exited.
+    :param revoke_seconds: time after which a revoked key must be refused.
+    :param drain_seconds: time for which leaving upstreams may still get
+        requests.
+    :param steady_seconds: time after a fault of the platform or a VM in which
+        nodes needn't meet such bounds.
+    :param stall_seconds: time after which upstreams treat an unresponsive
+        upstream as lost.
+    :param fenced: whether upstreams refuse commands with old fencing numbers.
     """
 
     name: str
@@ -61,19 +64,19 @@
     'peers',
     'store',
 )
-"""Settings that take effect at a start, when sockets and names are made."""
+"""Settings that take effect only when the process starts."""
 
 
 @dataclass(frozen=True)
 class SettingsChanged:
-    """The settings of this process have changed."""
+    """Emitted when the settings of this process have changed."""
 
     startup: RelayStartup
 
 
 @dataclass(frozen=True)
 class NodesCounted:
-    """How many nodes there are, as far as they have entered themselves."""
+    """Emitted with the number of nodes that are registered in the store."""
 
     nodes: int
 
@@ -82,10 +85,10 @@
     old: RelayStartup,
     new: RelayStartup,
 ) -> tuple[RelayStartup, tuple[str, ...]]:
-    """Take new settings but for those that need a start.
+    """Apply new settings except those that require a restart.
 
-    :returns: what is in force from now on, and the names of changed settings
-        that wait for a start.
+    :returns: the settings in force from now on, and the names of changed
+        settings that take effect after a restart.
     """
     waiting = tuple(
         name
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
@@ -1,4 +1,4 @@
-"""The terms of requests and answers, whatever headers carry them."""
+"""Metadata of requests and answers, independent of header names."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,15 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTerms:
-    """What a client says of its request.
-
-    :param identity: of this attempt of the client.
-    :param deadline: seconds that the client waits, if it says so.
-    :param key: of its account; empty if it gave none.
-    :param prompt: tokens of the prompt.
-    :param answer: most tokens of the answer.
-    :param hint: the client's guess of the tokens of the answer.
-    :param last_event: number of the last event that it has of a stream.
+    """Metadata that a client sends with its request.
+
+    :param identity: identity of this attempt of the client.
+    :param deadline: seconds that the client waits, if given.
+    :param key: key of its client account; empty if not given.
+    :param prompt: number of tokens of the prompt.
+    :param answer: maximum number of tokens of the answer.
+    :param hint: the client's estimate of the tokens of the answer.
+    :param last_event: number of the last event of the stream that the client
+        has received.
     """
 
     identity: str
@@ -33,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What a node adds for the upstream.
+    """Metadata that a node adds to a request for the upstream.
 
-    :param replica: entry of the replica that is meant.
-    :param deadline: seconds left.
+    :param replica: registry entry of the replica that shall answer.
+    :param deadline: remaining seconds.
     :param account: name of the client account; empty for anonymous routes.
-    :param path: the stages, for engines.
-    :param last_event: number of the last event delivered.
+    :param path: stages of the path; empty for non-model services.
+    :param last_event: number of the last event delivered to the client.
     """
 
     replica: str
@@ -51,20 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerTerms:
-    """What an upstream says of its answer.
+    """Metadata that an upstream sends with its answer.
 
-    :param identity: of the request that it answers; empty if not said.
-    :param signed: whether a replica vouches for it.
+    :param identity: identity of the request; empty if not given.
+    :param signed: whether the answer has the signature of a replica.
     :param not_run: whether the request is certain not to have run.
     :param fault: address of the replica that caused a refusal.
-    :param encoded: whether the body isn't as the replica wrote it.
-    :param entry: the registry's name of the replica that answers, if said.
-    :param limit: requests a second that the replica takes from all nodes
-        together; nothing if it names no limit, not a number if it can't be
-        read.
-    :param rest: seconds for which a replica that turned the request away
-        wants nothing from this node; nothing or not a number as for a limit.
-    :param leaving: whether the replica says that it will stop.
+    :param encoded: whether the body has a content encoding, so that it isn't
+        as the replica wrote it.
+    :param entry: registry entry of the replica that answers, if given.
+    :param limit: rate limit of the replica for all nodes together, in
+        requests per second; nothing if not given, NaN if unreadable.
+    :param backoff: seconds for which a replica that refused the request
+        accepts none from this node; nothing or NaN as for ``limit``.
+    :param leaving: whether the replica reports that it will stop.
     """
 
     identity: str
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Wire:
-    """Functions between headers and terms."""
+    """Functions that convert between headers and metadata."""
 
     read_request: Callable[[Headers], RequestTerms]
     write_request: Callable[[Headers, Dispatch], list[tuple[str, str]]]
--- a/packages/ryelatch-node/src/ryelatch_node/store/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's object API, as this process uses it."""
+"""Client of the platform's object store."""
 
 from ryelatch_node.store._client import Entry, Store, StoreError, open_store
 from ryelatch_node.store._service import setup
--- a/packages/ryelatch-node/src/ryelatch_node/store/_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_client.py
@@ -1,4 +1,4 @@
-"""Client of the object API: versions, conditional updates, watches."""
+"""Client of the object store: versions, conditional writes, watches."""
 
 import asyncio
 import enum
@@ -22,26 +22,26 @@
 
 
 class StoreError(enum.Enum):
-    """Why a call did not do what was asked."""
+    """Why a call to the store failed."""
 
     MISSING = 'missing'
     """There is no such object."""
 
     CONFLICT = 'conflict'
-    """The object is not in the version that the write demands."""
+    """The object doesn't have the version that the write requires."""
 
     OUT = 'out'
-    """No answer; a write may have taken effect all the same."""
+    """The store did not respond; a write may still have taken effect."""
 
     UNCHANGED = 'unchanged'
-    """A watch ended without a change."""
+    """A watch ended without a change, or a list hasn't changed."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """An object as read.
+    """A stored object.
 
-    :param version: grows with each write of the object.
+    :param version: version of the object, which each write increases.
     """
 
     body: bytes
@@ -58,14 +58,14 @@
 
 
 def _ignore_result(*, answered: bool) -> None:
-    """Take note of nothing."""
+    """Ignore whether the store responded."""
 
 
 class Store:
-    """Calls to the platform.
+    """Calls to the platform's object store.
 
-    :param platform: where it is and how long one call may take.
-    :param on_call: told after each call whether the platform answered.
+    :param platform: its address, and the timeout of a call.
+    :param on_call: called after each call with whether the store responded.
     """
 
     def __init__(
@@ -98,15 +98,16 @@
         after: str,
         wait: float,
     ) -> Result[Entry, StoreError]:
-        """Wait until an object has another version than the one known.
+        """Wait until an object has another version than a known one.
 
-        :param wait: seconds after which the platform answers anyway.
+        :param after: the known version.
+        :param wait: seconds after which the store responds in any case.
         """
         path = f'watch/{key}?after={after}&wait={wait}'
         return await self._call('GET', path, extra_wait=wait)
 
     async def create(self, key: str, body: bytes) -> Result[Entry, StoreError]:
-        """Create an object if there is none."""
+        """Create an object if it doesn't exist."""
         return await self._call(
             'PUT', f'objects/{key}', body, {'If-None-Match': '*'}
         )
@@ -117,19 +118,19 @@
         body: bytes,
         version: str,
     ) -> Result[Entry, StoreError]:
-        """Replace an object that is still in a version."""
+        """Replace an object if it still has the given version."""
         return await self._call(
             'PUT', f'objects/{key}', body, {'If-Match': version}
         )
 
     async def delete(self, key: str, version: str) -> Result[Entry, StoreError]:
-        """Delete an object that is still in a version."""
+        """Delete an object if it still has the given version."""
         return await self._call(
             'DELETE', f'objects/{key}', headers={'If-Match': version}
         )
 
     async def list_vms(self) -> Result[list[Vm], StoreError]:
-        """Read the list of live and leaving VMs; it lags by seconds."""
+        """Read the list of live and leaving VMs; it is seconds old."""
         headers = {'If-None-Match': f'"{self._list_version}"'}
         found = await self._call('GET', 'vms', headers=headers)
         if found.is_err() and found.unwrap_err() is StoreError.UNCHANGED:
@@ -181,13 +182,13 @@
         return self._session
 
     def _replace_session(self, unresponsive: aiohttp.ClientSession) -> None:
-        """Use new connections after one gave no answer.
+        """Use new connections after a call got no response.
 
-        Something between the ends can lose track of open connections, which
-        then stay silent for good while new ones work. It shows as calls that
-        time out one after the other, each on the next idle connection of the
-        pool. After the first, none of them is used again; calls that still
-        wait on them, such as a watch, come to their own end.
+        A network device can lose the state of open connections, which then
+        never respond again while new ones work. Calls would time out one
+        after the other, each on the next idle connection of the pool. So
+        after the first timeout no call uses the old connections; those that
+        still wait on them, such as a watch, are left to finish.
         """
         if self._session is unresponsive:
             self._session = None
@@ -203,7 +204,7 @@
 def _decode_as(
     kind: type[_Decoded],
 ) -> Callable[[Entry], Result[_Decoded, StoreError]]:
-    """Make the step from an answer's body to typed data."""
+    """Make a function that decodes the body of an entry as a type."""
 
     def decode(entry: Entry) -> Result[_Decoded, StoreError]:
         try:
@@ -215,5 +216,5 @@
 
 
 def open_store(platform: Platform) -> Store:
-    """Make a client without a node around it, as for the command line."""
+    """Make a client outside a node, as the command line uses it."""
     return Store(platform)
--- a/packages/ryelatch-node/src/ryelatch_node/store/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_service.py
@@ -1,4 +1,4 @@
-"""The store as a service of a node."""
+"""The service ``store`` of a node."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 def _make_outage_recorder(timeline: Timeline) -> Callable[..., None]:
-    """Record when the platform stops answering and when it is back."""
+    """Make a function that records the start and end of outages."""
     available = True
 
     def record_call(*, answered: bool) -> None:
