--- a/tests/node/peers/test_delta.py
+++ b/tests/node/peers/test_delta.py
@@ -1,4 +1,4 @@
-"""Changes between revisions, as peers pass them on."""
+"""Differences between revisions, as peers send them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -44,7 +44,7 @@
 
 
 def test_a_change_is_small_in_a_large_tree() -> None:
-    """A thousand accounts, one of which changes: one part is passed on."""
+    """If one of a thousand accounts changes, only its part is sent."""
     old = _bundle({f'account-{index}': 1 for index in range(1000)}, 4)
     weights = {f'account-{index}': 1 for index in range(1000)}
     new = _bundle(weights | {'account-7': 2}, 5)
--- a/tests/node/peers/test_tls.py
+++ b/tests/node/peers/test_tls.py
@@ -1,4 +1,4 @@
-"""Streams between nodes, and callers, over TLS."""
+"""Connections of peers and clients over TLS."""
 
 import ssl
 from pathlib import Path
@@ -9,10 +9,10 @@
 
 
 async def test_nodes_with_certificates(tmp_path: Path) -> None:
-    """All nodes have certificates of one authority; so have callers theirs.
+    """All nodes have certificates of one authority, which clients trust.
 
-    Peers find each other over TLS in both directions, and the port for
-    callers answers to TLS.
+    Peers connect over TLS in both directions, and the port for clients
+    accepts TLS.
     """
     authority = trustme.CA()
     pair = authority.issue_cert('127.0.0.1')
@@ -32,12 +32,12 @@
         url = f'https://{fleet.nodes[0].address}/admin/status'
         headers = {'Authorization': f'Bearer {OPERATOR_KEY}'}
 
-        async def met() -> bool:
+        async def connected() -> bool:
             async with fleet.http.get(
                 url, headers=headers, ssl=context
             ) as response:
                 return (await response.json())['peers'] == ['node-b']
 
-        await fleet.wait_for(met)
+        await fleet.wait_for(connected)
     finally:
         await fleet.close()
--- a/tests/node/upstreams/test_links.py
+++ b/tests/node/upstreams/test_links.py
@@ -1,4 +1,4 @@
-"""Links of a node to its engines."""
+"""Connections of a node to its engines."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 async def test_more_engines_than_a_hundred() -> None:
-    """A fleet grows past a hundred engines, and the rest get no work.
+    """A node connects to more than 100 engines.
 
-    The client library's pool ends at a hundred connections by default; the
-    others wait for a free one, which there never is.
+    By default, aiohttp's pool allows 100 connections. Further links would
+    wait forever, as the open ones are never released.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
         engine = fleet.vms['engine-0a']
@@ -26,13 +26,13 @@
 
 
 async def test_short_connection_is_told_as_closed() -> None:
-    """An engine is killed within a second of being connected.
+    """A connection that ends within a second is reported as closed.
 
-    The time line named no reason, only that the connection had been of use.
-    On a busy machine, where engines connect late, that showed in a session.
+    Such a connection counts as failed and is not resumed. The reported reason
+    must not be ``served``, the link's internal result of the connection.
     """
 
-    async def greet(request: web.Request) -> web.WebSocketResponse:
+    async def serve_hello(request: web.Request) -> web.WebSocketResponse:
         socket = web.WebSocketResponse()
         await socket.prepare(request)
         hello = Hello('engine', 'life-1', 'm', 'v1', 0, 8, 'v100', 100.0)
@@ -41,22 +41,22 @@
         return socket
 
     app = web.Application()
-    app.router.add_get('/v1/steps', greet)
+    app.router.add_get('/v1/steps', serve_hello)
     runner = web.AppRunner(app)
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
     address = f'127.0.0.1:{runner.addresses[0][1]}'
-    told: list[str] = []
+    reasons: list[str] = []
     link = EngineLink(
         Vm('engine', 'engine', address, 'zone-a'),
-        lambda _, reason: told.append(reason),
+        lambda _, reason: reasons.append(reason),
         lambda *_: None,
     )
     async with ClientSession() as session:
         link.start(session)
         async with asyncio.timeout(10):
-            while len(told) < 2:
+            while len(reasons) < 2:
                 await asyncio.sleep(0.01)
         await link.close()
     await runner.cleanup()
-    assert told[:2] == ['hello', 'closed']
+    assert reasons[:2] == ['hello', 'closed']
--- a/tests/promises/test_layers.py
+++ b/tests/promises/test_layers.py
@@ -20,21 +20,21 @@
 _TOKENS = 60
 
 
-async def _start(fleet: Fleet, heard: Heard) -> asyncio.Task[Heard]:
+async def _start_answer(fleet: Fleet, received: Heard) -> asyncio.Task[Heard]:
     return asyncio.create_task(
-        ask(fleet.http, fleet.nodes[0], _KEY, _CONTENT, _TOKENS, heard)
+        ask(fleet.http, fleet.nodes[0], _KEY, _CONTENT, _TOKENS, received)
     )
 
 
-async def _wait_tokens(fleet: Fleet, heard: Heard, count: int) -> list[str]:
-    await fleet.wait_until(lambda: len(heard.text) >= count)
-    return await find_chain(fleet, heard.headers['x-ryelatch-request'])
+async def _wait_tokens(fleet: Fleet, received: Heard, count: int) -> list[str]:
+    await fleet.wait_until(lambda: len(received.text) >= count)
+    return await find_chain(fleet, received.headers['x-ryelatch-request'])
 
 
-async def _check_whole(fleet: Fleet, heard: Heard) -> None:
-    assert heard.text == complete_chat(_CONTENT, 12, _TOKENS)
-    assert heard.done
-    assert heard.finish == 'length'
+async def _check_complete(fleet: Fleet, received: Heard) -> None:
+    assert received.text == complete_chat(_CONTENT, 12, _TOKENS)
+    assert received.done
+    assert received.finish == 'length'
     await check_layers_once(fleet)
     await check_streams_freed(fleet)
 
@@ -42,41 +42,41 @@
 @pytest.mark.parametrize('stage', [0, 1, 2])
 @pytest.mark.parametrize('after', [1, 30, 58])
 async def test_stage_killed(stage: int, after: int) -> None:
-    """A crew leader sees the plan pause and go on.
+    """The engine of one stage is killed in the middle of an answer.
 
-    The process of one stage dies after the first, a middle, or nearly the
-    last token. The next attempt rebuilds the cache on other engines and goes
-    on from the last token delivered.
+    This happens after the first, a middle, or nearly the last token. The next
+    attempt rebuilds the cache on other engines and continues after the last
+    token delivered.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        chain = await _wait_tokens(fleet, heard, after)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        chain = await _wait_tokens(fleet, received, after)
         await fleet.processes[chain[stage]].kill()
-        await asking
-        await _check_whole(fleet, heard)
+        await answering
+        await _check_complete(fleet, received)
 
 
 async def test_stages_killed_also_in_recovery() -> None:
-    """Two stages die at once, and a third while the answer is recovering.
+    """Two engines are killed at once, and a third during the recovery.
 
-    The first two are taken from one chain; the chain that takes over loses
-    its own middle stage before it has given a token.
+    The first two belong to one chain. The middle engine of the next chain is
+    killed before that chain has generated a token.
     """
     async with run_fleet(make_shape(nodes=1, replicas=3)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        chain = await _wait_tokens(fleet, heard, 10)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        chain = await _wait_tokens(fleet, received, 10)
         await asyncio.gather(
             fleet.processes[chain[0]].kill(),
             fleet.processes[chain[2]].kill(),
         )
-        request = heard.headers['x-ryelatch-request']
+        request = received.headers['x-ryelatch-request']
         await fleet.wait_for(lambda: _has_moved(fleet, request, chain))
         second = await find_chain(fleet, request)
         await fleet.processes[second[1]].kill()
-        await asking
-        await _check_whole(fleet, heard)
+        await answering
+        await _check_complete(fleet, received)
 
 
 async def _has_moved(fleet: Fleet, request: str, chain: list[str]) -> bool:
@@ -84,37 +84,38 @@
 
 
 async def test_frozen_stage_wakes_and_answers_late() -> None:
-    """A stage stops for seconds, then answers what was asked long ago.
+    """A paused engine resumes and sends receipts of an earlier attempt.
 
-    Its VM was paused. The answer has moved on under a new attempt; a late
-    frame let through would give one position two tokens.
+    Meanwhile the answer has continued with a new attempt. If the late receipt
+    were accepted, one position would have two tokens.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        chain = await _wait_tokens(fleet, heard, 10)
-        frozen = fleet.processes[chain[1]]
-        frozen.send(signal.SIGSTOP)
-        await fleet.wait_until(lambda: len(heard.text) > 20)
-        frozen.send(signal.SIGCONT)
-        await asking
-        await _check_whole(fleet, heard)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        chain = await _wait_tokens(fleet, received, 10)
+        paused = fleet.processes[chain[1]]
+        paused.send(signal.SIGSTOP)
+        await fleet.wait_until(lambda: len(received.text) > 20)
+        paused.send(signal.SIGCONT)
+        await answering
+        await _check_complete(fleet, received)
 
 
 async def test_answer_of_a_step_is_lost() -> None:
-    """One stream stands still while others move.
+    """An engine runs a step, but its receipt is lost.
 
-    The engine ran a step and its answer went astray. The same step is sent
-    again, and the engine gives the kept result instead of running it twice.
+    Without a second request, this stream would make no progress. The same
+    step is sent again, and the engine returns its stored result instead of
+    running the step twice.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        await _wait_tokens(fleet, heard, 10)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        await _wait_tokens(fleet, received, 10)
         engine = fleet.processes['engine-1a']
         await fleet.control(engine, 'state', {'faults': {'lose': 1}})
-        await asking
-        await _check_whole(fleet, heard)
+        await answering
+        await _check_complete(fleet, received)
         assert not await list_events(fleet, 'chain-lost')
 
 
@@ -122,49 +123,50 @@
     'change', [{'version': '2'}, {'last': 9}, {'first': 3}]
 )
 async def test_engine_changes_under_way(change: dict[str, object]) -> None:
-    """An engine is given another version or range in the middle of answers.
+    """An engine changes its version or layers in the middle of an answer.
 
     A chain with it would mix versions, or run a layer twice or not at all.
-    The engine refuses the step, and the answer moves to engines that tile.
+    The engine refuses the step, and the answer moves to engines that
+    together cover each layer once.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        chain = await _wait_tokens(fleet, heard, 10)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        chain = await _wait_tokens(fleet, received, 10)
         await fleet.control(fleet.processes[chain[1]], 'state', change)
-        await asking
-        await _check_whole(fleet, heard)
+        await answering
+        await _check_complete(fleet, received)
 
 
 async def test_engine_that_ran_other_layers_is_refused() -> None:
-    """An engine says that it ran one layer more than it was asked to.
+    """An engine reports that it ran one layer more than requested.
 
-    The token that came of it would look plausible. The receipt is held
-    against the step, the attempt is given up, and an event tells of it.
+    The resulting token would look plausible. The receipt doesn't match the
+    step, so the attempt fails, and an event is recorded.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        chain = await _wait_tokens(fleet, heard, 10)
-        liar = fleet.processes[chain[1]]
-        await fleet.control(liar, 'state', {'faults': {'lie': True}})
-        await asking
-        await _check_whole(fleet, heard)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        chain = await _wait_tokens(fleet, received, 10)
+        faulty = fleet.processes[chain[1]]
+        await fleet.control(faulty, 'state', {'faults': {'lie': True}})
+        await answering
+        await _check_complete(fleet, received)
         assert await list_events(fleet, 'receipt-refused')
 
 
 async def test_connections_to_engines_go_silent() -> None:
-    """Every open connection to the engines stops for good; new ones work.
+    """All open connections to engines become unresponsive; new ones work.
 
-    A box between the ends lost its state. The steps in flight are sent again
-    on new connections, and the attempt itself goes on.
+    This happens when a network device loses its state. The steps in flight
+    are sent again on new connections, and the same attempt continues.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
-        asking = await _start(fleet, heard)
-        await _wait_tokens(fleet, heard, 10)
+        received = Heard()
+        answering = await _start_answer(fleet, received)
+        await _wait_tokens(fleet, received, 10)
         for spec in fleet.shape.engines:
             await fleet.silence(fleet.processes[spec.name])
-        await asking
-        await _check_whole(fleet, heard)
+        await answering
+        await _check_complete(fleet, received)
         assert not await list_events(fleet, 'chain-lost')
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that is leaving receives no new work after a few seconds."""
+"""A leaving upstream receives no new work after a few seconds."""
 
 import asyncio
 from typing import Any
@@ -16,10 +16,10 @@
 
 async def _wait_known(fleet: Fleet, name: str) -> None:
     async def known() -> bool:
-        found = [await fleet.status(node) for node in fleet.nodes]
+        statuses = [await fleet.status(node) for node in fleet.nodes]
         return all(
             upstream['leaving']
-            for status in found
+            for status in statuses
             for upstream in status['upstreams']
             if upstream['name'] == name
         )
@@ -32,27 +32,28 @@
     await fleet.publish_vms()
 
 
-async def _say_leaving(fleet: Fleet, name: str) -> None:
+async def _report_leaving(fleet: Fleet, name: str) -> None:
     await fleet.control(fleet.processes[name], 'state', {'leaving': True})
 
 
-async def _say_leaving_in_outage(fleet: Fleet, name: str) -> None:
+async def _report_leaving_in_outage(fleet: Fleet, name: str) -> None:
     await fleet.control(fleet.platform, 'faults', {'outage': True})
-    await _say_leaving(fleet, name)
+    await _report_leaving(fleet, name)
 
 
 @pytest.mark.parametrize(
-    'leave', [_list_leaving, _say_leaving, _say_leaving_in_outage]
+    'leave', [_list_leaving, _report_leaving, _report_leaving_in_outage]
 )
 async def test_engine_leaves(leave: Any) -> None:
-    """An engine is to be replaced while answers run on it.
+    """An engine is leaving while answers run on it.
 
-    The platform lists it as leaving, or it says so itself, also when the
-    store is out. Its answers end whole and no node gives it a new one.
+    The platform lists it as leaving, or it reports so itself, also when the
+    store is unavailable. Its answers are completed, and no node sends it
+    steps of new ones.
     """
     async with run_fleet(make_shape()) as fleet:
-        heard = [Heard() for _ in range(9)]
-        asking = [
+        received = [Heard() for _ in range(9)]
+        answering = [
             asyncio.create_task(
                 ask(
                     fleet.http,
@@ -60,12 +61,12 @@
                     _KEY,
                     f'answer {index}',
                     400,
-                    one,
+                    answer,
                 )
             )
-            for index, one in enumerate(heard)
+            for index, answer in enumerate(received)
         ]
-        await fleet.wait_until(lambda: all(one.text for one in heard))
+        await fleet.wait_until(lambda: all(answer.text for answer in received))
         await leave(fleet, _LEAVING)
         await _wait_known(fleet, _LEAVING)
         for node in fleet.nodes * 3:
@@ -75,16 +76,17 @@
             engine = fleet.processes[_LEAVING]
             seen = await fleet.inspect(engine, 'ledger')
             assert request not in {entry[0] for entry in seen['ledger']}
-        await asyncio.gather(*asking)
-        for index, one in enumerate(heard):
-            assert one.text == complete_chat(f'answer {index}', 12, 400)
+        await asyncio.gather(*answering)
+        for index, answer in enumerate(received):
+            assert answer.text == complete_chat(f'answer {index}', 12, 400)
         assert await read_ledgers(fleet)
 
 
 async def test_plain_service_leaves() -> None:
-    """A booking service is listed as leaving.
+    """The platform lists a booking service as leaving.
 
-    No node sends it a new booking once it knows, and it runs none twice.
+    A node that has read the list sends it no new booking. All bookings run
+    exactly once on the others.
     """
     async with run_fleet(make_shape()) as fleet:
         await _list_leaving(fleet, 'booking-1')
@@ -98,18 +100,18 @@
 
 
 async def test_peers_pass_on_who_leaves() -> None:
-    """One node knows that a service leaves, and the store is out.
+    """A service reports that it is leaving, and the store is unavailable.
 
-    The list that said so reached a single node before the outage. The
-    others hear it from that node.
+    Only some nodes check the health of the service and get its report. The
+    others must receive it from these nodes.
     """
     async with run_fleet(make_shape()) as fleet:
         node = fleet.processes['node-a']
-        await _say_plain_leaving(fleet, 'booking-2')
+        await _report_service_leaving(fleet, 'booking-2')
         await fleet.control(fleet.platform, 'faults', {'outage': True})
         await _wait_known(fleet, 'booking-2')
         assert (await book(fleet, node, 'x'))[0] == 201
 
 
-async def _say_plain_leaving(fleet: Fleet, name: str) -> None:
+async def _report_service_leaving(fleet: Fleet, name: str) -> None:
     await fleet.control(fleet.processes[name], 'faults', {'leaving': True})
--- a/tests/promises/test_own_answer.py
+++ b/tests/promises/test_own_answer.py
@@ -1,4 +1,4 @@
-"""A caller receives the whole answer to the own request and nothing else."""
+"""A client receives the complete answer to its own request only."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
 from standins.model import complete_chat
 
 _TOKENS = 40
-_CALLERS = 120
+_CLIENTS = 120
 _KEYS = ('ward-1-key', 'clinic-le-loi-key', 'schools-key')
 
 
 async def test_many_answers_through_disturbed_engines() -> None:
-    """Hundreds of crew leaders ask at once while the engines misbehave.
+    """Many clients send requests at once while the engines are faulty.
 
-    Answers to steps come twice, late, or from an earlier step, or not at
-    all, and one stage dies. Each caller must read its own text, whole.
+    Receipts come twice, late, from an earlier step, or not at all, and one
+    engine is killed. Each client must receive its own complete text.
     """
     async with run_fleet(make_shape(nodes=2, replicas=3)) as fleet:
         for name, faults in (
@@ -28,9 +28,9 @@
             await fleet.control(
                 fleet.processes[name], 'state', {'faults': faults}
             )
-        contents = [f'question {index} ' * 5 for index in range(_CALLERS)]
-        heard = [Heard() for _ in contents]
-        asking = [
+        contents = [f'question {index} ' * 5 for index in range(_CLIENTS)]
+        received = [Heard() for _ in contents]
+        answering = [
             asyncio.create_task(
                 ask(
                     fleet.http,
@@ -38,36 +38,37 @@
                     _KEYS[index % len(_KEYS)],
                     content,
                     _TOKENS,
-                    heard[index],
+                    received[index],
                 )
             )
             for index, content in enumerate(contents)
         ]
-        await fleet.wait_until(lambda: any(one.text for one in heard))
+        await fleet.wait_until(lambda: any(answer.text for answer in received))
         await fleet.processes['engine-2b'].kill()
-        await asyncio.gather(*asking)
-        for content, one in zip(contents, heard, strict=True):
-            assert one.text == complete_chat(content, 12, _TOKENS)
-            assert one.done
+        await asyncio.gather(*answering)
+        for content, answer in zip(contents, received, strict=True):
+            assert answer.text == complete_chat(content, 12, _TOKENS)
+            assert answer.done
         await check_layers_once(fleet)
         await check_streams_freed(fleet)
         assert await list_events(fleet, 'frame-dropped')
 
 
 async def test_caller_gone_cancels_the_work() -> None:
-    """A crew leader closes the laptop in the middle of an answer.
+    """A client disconnects in the middle of an answer.
 
-    The engines would go on for nobody, and their caches stay full. The work
-    is cancelled at once, and the next answer on the node is right.
+    Without cancellation, the engines would continue for no client, and their
+    caches would stay in use. The work is cancelled at once, and the next
+    answer of the node is correct.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEYS[0], 'long', 1000, heard)
+        received = Heard()
+        answering = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEYS[0], 'long', 1000, received)
         )
-        await fleet.wait_until(lambda: heard.text)
-        asking.cancel()
-        await asyncio.wait([asking])
+        await fleet.wait_until(lambda: received.text)
+        answering.cancel()
+        await asyncio.wait([answering])
         await check_streams_freed(fleet)
         assert await list_events(fleet, 'caller-gone')
         again = await ask(fleet.http, fleet.nodes[0], _KEYS[0], 'x', 9)
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of any VM cuts off no request in progress."""
+"""A planned stop of a VM interrupts no request in progress."""
 
 import asyncio
 
@@ -22,8 +22,8 @@
         return False
 
 
-async def _balance(fleet: Fleet, turn: int) -> Process:
-    """Pick a node as the balancer does: one that says that it is ready."""
+async def _choose_node(fleet: Fleet, turn: int) -> Process:
+    """Choose a ready node, as the load balancer does."""
     while True:
         start = turn % len(fleet.nodes)
         for node in fleet.nodes[start:] + fleet.nodes[:start]:
@@ -33,66 +33,68 @@
 
 
 async def test_all_nodes_replaced_one_after_the_other() -> None:
-    """Every VM is replaced while crews work: a rolling replacement.
+    """All nodes are replaced one by one while clients send requests.
 
-    Callers come through the balancer all the time. Each node in turn is not
-    ready, answers what still comes, ends what it has, and exits with 0.
+    Each node in turn reports that it isn't ready, answers requests that still
+    arrive, completes those in progress, and exits with 0.
     """
     async with run_fleet(make_shape()) as fleet:
         stop = asyncio.Event()
-        texts: list[tuple[str, Heard]] = []
+        answers: list[tuple[str, Heard]] = []
 
-        async def call(number: int) -> None:
+        async def send_requests(number: int) -> None:
             turn = number
             while not stop.is_set():
                 turn += 1
-                node = await _balance(fleet, turn)
-                heard = Heard()
+                node = await _choose_node(fleet, turn)
+                received = Heard()
                 content = f'caller {number} turn {turn}'
-                texts.append((content, heard))
-                await ask(fleet.http, node, _KEY, content, 40, heard)
+                answers.append((content, received))
+                await ask(fleet.http, node, _KEY, content, 40, received)
 
-        callers = [asyncio.create_task(call(number)) for number in range(12)]
-        await fleet.wait_until(lambda: len(texts) > 12)
+        clients = [
+            asyncio.create_task(send_requests(number)) for number in range(12)
+        ]
+        await fleet.wait_until(lambda: len(answers) > 12)
         for name in list(fleet.shape.nodes):
             assert await fleet.processes[name].stop() == 0
             await fleet.start_node(name)
             await fleet.wait_connected()
         stop.set()
-        await asyncio.gather(*callers)
-        for content, heard in texts:
-            assert heard.status == 200, heard.error
-            assert heard.text == complete_chat(content, 12, 40)
+        await asyncio.gather(*clients)
+        for content, received in answers:
+            assert received.status == 200, received.error
+            assert received.text == complete_chat(content, 12, 40)
 
 
 async def test_long_answer_and_impatient_supervisor() -> None:
-    """A node is told to stop three times while it streams a long answer.
+    """A node receives three stop signals while it streams a long answer.
 
-    The second and third signal must not shorten the stop; the answer ends
-    whole, and so does a slow booking.
+    The second and third signal must not shorten the shutdown. The answer is
+    completed, and so is a slow booking.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
-        heard = Heard()
+        received = Heard()
         await set_booking_faults(fleet, slow=0.5)
-        asking = asyncio.create_task(
-            ask(fleet.http, node, _KEY, 'long', _TOKENS, heard)
+        answering = asyncio.create_task(
+            ask(fleet.http, node, _KEY, 'long', _TOKENS, received)
         )
         booking = asyncio.create_task(book(fleet, node, 'p', 'key-1'))
-        await fleet.wait_until(lambda: heard.text)
+        await fleet.wait_until(lambda: received.text)
         stops = [asyncio.create_task(node.stop()) for _ in range(3)]
-        await asyncio.gather(asking, booking, *stops)
-        assert heard.text == complete_chat('long', 12, _TOKENS)
+        await asyncio.gather(answering, booking, *stops)
+        assert received.text == complete_chat('long', 12, _TOKENS)
         assert booking.result()[:2] == (201, 'complete')
         assert await count_runs(fleet) == {'p': 1}
         assert {task.result() for task in stops} == {0}
 
 
 async def test_kept_connection_is_told_to_close() -> None:
-    """A caller keeps a connection open and sends on it during the drain.
+    """A client sends a request on a kept connection during the drain.
 
-    It is answered, and told that the connection closes, so that the next
-    request goes to another node instead of into a closed socket.
+    The response has the header ``connection: close``, so that the client
+    sends its next request to another node instead of on a closed connection.
     """
     shape = make_shape(nodes=1, drain_notice=1.0)
     async with run_fleet(shape) as fleet:
@@ -115,25 +117,25 @@
 
 
 async def test_stop_with_requests_in_the_queue() -> None:
-    """A node is stopped while requests wait for their turn.
+    """A node is stopped while requests are queued.
 
-    Those in the queue were taken in, so they are answered too.
+    Requests in the queue were accepted, so they must be answered too.
     """
 
-    def narrow(tree: dict[str, dict[str, dict[str, object]]]) -> None:
+    def limit_slots(tree: dict[str, dict[str, dict[str, object]]]) -> None:
         tree['models']['textile-care']['slots'] = 2
 
-    async with run_fleet(make_shape(nodes=1, tweak=narrow)) as fleet:
+    async with run_fleet(make_shape(nodes=1, tweak=limit_slots)) as fleet:
         node = fleet.nodes[0]
-        heard = [Heard() for _ in range(6)]
-        asking = [
+        received = [Heard() for _ in range(6)]
+        answering = [
             asyncio.create_task(
-                ask(fleet.http, node, _KEY, f'{index}', 60, one)
+                ask(fleet.http, node, _KEY, f'{index}', 60, answer)
             )
-            for index, one in enumerate(heard)
+            for index, answer in enumerate(received)
         ]
-        await fleet.wait_until(lambda: any(one.text for one in heard))
+        await fleet.wait_until(lambda: any(answer.text for answer in received))
         assert await node.stop() == 0
-        await asyncio.gather(*asking)
-        for index, one in enumerate(heard):
-            assert one.text == complete_chat(f'{index}', 12, 60)
+        await asyncio.gather(*answering)
+        for index, answer in enumerate(received):
+            assert answer.text == complete_chat(f'{index}', 12, 60)
