--- a/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
@@ -33,8 +33,8 @@
     """Layers that an engine has loaded, by its own report.
 
     :param layers: nothing if it has none.
-    :param born: milliseconds when its current incarnation started; 0 if not
-        reported.
+    :param born: start of its current incarnation in milliseconds; 0 if
+        not reported.
     """
 
     layers: LayerRange | None
@@ -51,8 +51,8 @@
     :param stalled: addresses of replicas that its requests wait for, by the
         identity of the request.
     :param holding: nothing if it doesn't report its layers.
-    :param pace: step-time factor, relative to the normal duration of passes
-        on its kind of accelerator.
+    :param pace: step-time factor, relative to the normal duration of
+        passes on its kind of accelerator.
     """
 
     sequence: int
