--- a/benchmarks/fencing.py
+++ b/benchmarks/fencing.py
@@ -9,7 +9,7 @@
 
 from common import print_table, save_result
 
-from ryelatch_core.membership import ORDER_SECONDS, TTL_SECONDS, may_order
+from ryelatch_core.membership import COMMAND_TIMEOUT_SECONDS, TTL_SECONDS, may_send_command
 
 _TRIALS = 20_000
 _MEAN_PAUSE = 4.0
@@ -24,10 +24,10 @@
     arrives = before_check + after_check
     taken_over = TTL_SECONDS + chance.uniform(0, _DETECT)
     second_plain = taken_over + chance.uniform(0, 0.1)
-    second_waits = taken_over + ORDER_SECONDS
-    in_time = may_order(0, -ORDER_SECONDS, checked)
+    second_waits = taken_over + COMMAND_TIMEOUT_SECONDS
+    in_time = may_send_command(0, -COMMAND_TIMEOUT_SECONDS, checked)
     proved = checked < taken_over
-    on_time = after_check <= ORDER_SECONDS
+    on_time = after_check <= COMMAND_TIMEOUT_SECONDS
     return {
         'lease only, no check': arrives > second_plain,
         'read at dispatch': proved and arrives > second_plain,
--- a/benchmarks/fleet_decisions.py
+++ b/benchmarks/fleet_decisions.py
@@ -7,7 +7,7 @@
 
 from common import print_table, save_result
 
-from core_fleet import USUAL
+from core_fleet import TYPICAL_MODEL
 from ryelatch_core.fleet import (
     PathQuery,
     Replica,
@@ -41,7 +41,7 @@
 def measure(zones: int) -> dict[str, float]:
     """Measure one size of fleet."""
     empty = make_zones(zones)
-    moves = {move.replica.name: move for move in plan_moves(empty, USUAL)}
+    moves = {move.replica.name: move for move in plan_moves(empty, TYPICAL_MODEL)}
     fleet = [
         dataclasses.replace(one, layers=moves[one.name].layers)
         if one.name in moves
@@ -49,12 +49,12 @@
         for one in empty
     ]
     lost = fleet[1:]
-    query = PathQuery(USUAL, 'z0', 775, 216, random.random)
+    query = PathQuery(TYPICAL_MODEL, 'z0', 775, 216, random.random)
     return {
         'replicas': len(fleet),
-        'first_plan_ms': time_call(lambda: plan_moves(empty, USUAL)),
-        'whole_plan_ms': time_call(lambda: plan_moves(fleet, USUAL)),
-        'repair_ms': time_call(lambda: plan_moves(lost, USUAL)),
+        'first_plan_ms': time_call(lambda: plan_moves(empty, TYPICAL_MODEL)),
+        'whole_plan_ms': time_call(lambda: plan_moves(fleet, TYPICAL_MODEL)),
+        'repair_ms': time_call(lambda: plan_moves(lost, TYPICAL_MODEL)),
         'path_ms': time_call(lambda: choose_path(fleet, query)),
     }
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -9,10 +9,10 @@
 
 from ryelatch_core.pipeline import (
     Machine,
-    Placed,
+    Assignment,
     Placement,
     bound_throughput,
-    cut_evenly,
+    split_evenly,
     improve_placement,
     place_layers,
 )
@@ -50,7 +50,7 @@
     ranges = list(itertools.combinations(range(layers + 1), 2))
     options = [
         [
-            Placed(machine, first, last)
+            Assignment(machine, first, last)
             for first, last in ranges
             if last - first <= machine.capacity
         ]
@@ -73,9 +73,9 @@
     """Baseline: as few even stages as fit all, dealt round robin."""
     smallest = min(machine.capacity for machine in machines)
     stages = -(-layers // smallest)
-    bounds = cut_evenly(layers, stages)
+    bounds = split_evenly(layers, stages)
     return tuple(
-        Placed(machine, bounds[index % stages], bounds[index % stages + 1])
+        Assignment(machine, bounds[index % stages], bounds[index % stages + 1])
         for index, machine in enumerate(machines)
     )
 
@@ -86,7 +86,7 @@
     at = 0
     for machine in sorted(machines, key=lambda one: -one.speed):
         end = min(layers, at + machine.capacity)
-        placed.append(Placed(machine, at, end))
+        placed.append(Assignment(machine, at, end))
         at = end % layers
     return tuple(placed)
 
@@ -96,10 +96,10 @@
 ) -> Placement:
     """Baseline: even stages, each machine in any of them."""
     stages = -(-layers // min(machine.capacity for machine in machines))
-    bounds = cut_evenly(layers, stages)
+    bounds = split_evenly(layers, stages)
     drawn = [(machine, chance.randrange(stages)) for machine in machines]
     return tuple(
-        Placed(machine, bounds[stage], bounds[stage + 1])
+        Assignment(machine, bounds[stage], bounds[stage + 1])
         for machine, stage in drawn
     )
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -11,7 +11,7 @@
 from load import stream_many
 
 from fleet.fleet import Fleet, make_shape, run_fleet
-from ryelatch_core.pipeline import Holding, Offer, choose_chain, plan_repair
+from ryelatch_core.pipeline import Holding, Candidate, choose_chain, plan_repair
 from ryelatch_core.settings import (
     Account,
     Policy,
@@ -145,7 +145,7 @@
 
 def _by_engines(engines: int) -> list[dict[str, Any]]:
     offers = [
-        Offer(f'e{index}', f'z{index % 4}', *_cut(index), '1', index % 7)
+        Candidate(f'e{index}', f'z{index % 4}', *_cut(index), '1', index % 7)
         for index in range(engines)
     ]
     zones = [f'z{index}' for index in range(4)]
--- a/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_costs.py
@@ -11,7 +11,7 @@
 from ryelatch_cli._context import Context
 from ryelatch_cli._explain import read_texts
 from ryelatch_cli._output import CommandError, ExitCode
-from ryelatch_core.events import FleetCosts, read_lines, sum_costs
+from ryelatch_core.events import FleetUsage, read_lines, sum_usage
 
 
 @cappa.command(
@@ -32,17 +32,17 @@
 
         :raises CommandError: if no line tells what was spent.
         """
-        found = sum_costs(read_lines(read_texts(self.files)))
-        if not found.lives:
+        found = sum_usage(read_lines(read_texts(self.files)))
+        if not found.incarnations:
             raise CommandError('no line tells costs', ExitCode.REFUSED)
         sys.stdout.writelines(f'{row}\n' for row in _render(found))
 
 
-def _render(found: FleetCosts) -> Iterator[str]:
-    yield f'{found.lives} processes'
+def _render(found: FleetUsage) -> Iterator[str]:
+    yield f'{found.incarnations} processes'
     yield f'{"fleet":>12}  {"a process":>10}  what'
     for name, count in sorted(found.counts.items()):
-        yield f'{count:>12}  {count / found.lives:>10.2f}  {name}'
+        yield f'{count:>12}  {count / found.incarnations:>10.2f}  {name}'
     for activity, spent in sorted(found.seconds.items()):
-        mean = spent / found.lives
+        mean = spent / found.incarnations
         yield f'{spent:>12.3f}  {mean:>10.4f}  seconds/{activity}'
--- a/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_explain.py
@@ -48,19 +48,19 @@
             for reason, count in count_reasons(lines).items():
                 sys.stdout.write(f'{count:6d}  {reason}\n')
             return
-        story = explain_request(lines, self.request)
-        if story is None:
+        explanation = explain_request(lines, self.request)
+        if explanation is None:
             raise CommandError(
                 f'no line of {len(lines)} names request {self.request}',
                 ExitCode.REFUSED,
             )
         merged = sorted(
-            (*story.beliefs, *story.lines), key=lambda line: line.time
+            (*explanation.state_changes, *explanation.lines), key=lambda line: line.time
         )
-        begin = story.lines[0].time
+        begin = explanation.lines[0].time
         for line in merged:
             sys.stdout.write(_render(line, begin))
-        sys.stdout.write(f'likely cause: {story.cause}\n')
+        sys.stdout.write(f'likely cause: {explanation.cause}\n')
 
 
 def read_texts(files: list[Path]) -> Iterator[str]:
--- a/packages/ryelatch-cli/src/ryelatch_cli/_settings.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/_settings.py
@@ -26,7 +26,7 @@
     build_schema,
     check_text,
     explain_policy,
-    find_base,
+    find_base_revision,
     render_text,
 )
 from ryelatch_node.store import Store
@@ -102,7 +102,7 @@
         settings = read_file(self.file, Settings)
         base = self.base
         if base is None:
-            base = find_base(self.file.read_text())
+            base = find_base_revision(self.file.read_text())
         edit = acceptance.Edit(settings, base, getpass.getuser(), self.message)
         async with use_store(context) as store:
             accepted = await acceptance.accept(store, edit)
--- a/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/__init__.py
@@ -3,11 +3,11 @@
 from ryelatch_core.events import _catalogue as catalogue
 from ryelatch_core.events._catalogue import EventKind, Level, list_kinds
 from ryelatch_core.events._clock import HybridClock, Stamp
-from ryelatch_core.events._costs import CostBook, FleetCosts, sum_costs
+from ryelatch_core.events._costs import UsageTracker, FleetUsage, sum_usage
 from ryelatch_core.events._lines import LineLog, open_stdout
 from ryelatch_core.events._story import (
     Line,
-    Story,
+    Explanation,
     count_reasons,
     explain_request,
     read_lines,
@@ -16,16 +16,16 @@
 from ryelatch_core.events._timeline import Event, Timeline, merge_events
 
 __all__ = [
-    'CostBook',
+    'UsageTracker',
     'Event',
     'EventKind',
-    'FleetCosts',
+    'FleetUsage',
     'HybridClock',
     'Level',
     'Line',
     'LineLog',
     'Stamp',
-    'Story',
+    'Explanation',
     'Timeline',
     'catalogue',
     'count_reasons',
@@ -35,5 +35,5 @@
     'merge_events',
     'open_stdout',
     'read_lines',
-    'sum_costs',
+    'sum_usage',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/events/_costs.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_costs.py
@@ -18,18 +18,18 @@
 
 
 @dataclass(eq=False)
-class CostBook:
+class UsageTracker:
     """Counts what is spent, each count by a name of its parts.
 
     Parts are joined by a slash, the most general one first, such as
     ``store/servers/watch/steady/empty``; a fleet's table is made of them.
 
     :param clock: processor time of the process, in seconds.
-    :param life: tells processes of one name apart that followed each other.
+    :param incarnation: tells processes of one name apart that followed each other.
     """
 
     clock: Callable[[], float] = time.process_time
-    life: str = field(default_factory=lambda: uuid.uuid4().hex[:_LIFE_DIGITS])
+    incarnation: str = field(default_factory=lambda: uuid.uuid4().hex[:_LIFE_DIGITS])
     counts: Counter[str] = field(default_factory=Counter)
     seconds: dict[str, float] = field(
         default_factory=lambda: defaultdict(float)
@@ -44,7 +44,7 @@
         self.counts['/'.join(parts)] += number
 
     @contextlib.contextmanager
-    def spend(self, activity: str) -> Iterator[None]:
+    def measure_time(self, activity: str) -> Iterator[None]:
         """Add the processor time of a block that does not wait.
 
         :param activity: what it is spent on.
@@ -69,18 +69,18 @@
 
 
 @dataclass(frozen=True)
-class FleetCosts:
+class FleetUsage:
     """What all processes together have spent.
 
-    :param lives: processes that wrote what they spent, restarts included.
+    :param incarnations: processes that wrote what they spent, restarts included.
     """
 
-    lives: int
+    incarnations: int
     counts: Counter[str]
     seconds: dict[str, float]
 
 
-def sum_costs(lines: Iterable[Line]) -> FleetCosts:
+def sum_usage(lines: Iterable[Line]) -> FleetUsage:
     """Add up the last account of each life of each process.
 
     A life that was killed is counted up to its last line.
@@ -96,4 +96,4 @@
         counts.update(detail.get('counts', {}))
         for activity, spent in detail.get('seconds', {}).items():
             seconds[activity] += spent
-    return FleetCosts(len(latest), counts, dict(seconds))
+    return FleetUsage(len(latest), counts, dict(seconds))
--- a/packages/ryelatch-core/src/ryelatch_core/events/_story.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_story.py
@@ -88,16 +88,16 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class Explanation:
     """What became of a request.
 
     :param lines: of the request itself, in order.
-    :param beliefs: changes at the same process shortly before and meanwhile.
+    :param state_changes: changes at the same process shortly before and meanwhile.
     :param cause: the likely cause of its end, in a sentence.
     """
 
     lines: tuple[Line, ...]
-    beliefs: tuple[Line, ...]
+    state_changes: tuple[Line, ...]
     cause: str
 
 
@@ -114,7 +114,7 @@
         yield Line(found['time'], found['process'], found['name'], found)
 
 
-def explain_request(lines: Iterable[Line], request: str) -> Story | None:
+def explain_request(lines: Iterable[Line], request: str) -> Explanation | None:
     """Find the story of a request.
 
     :returns: nothing if no line names it.
@@ -125,14 +125,14 @@
     )
     if not own:
         return None
-    beliefs = tuple(
+    state_changes = tuple(
         line
         for line in ordered
         if line.time <= own[-1].time
         and (_was_believed(line, own) or _asks_the_same(line, own))
     )
-    cause = _find_cause(own, beliefs) + _tell_missing(own)
-    return Story(own, beliefs, cause)
+    cause = _find_cause(own, state_changes) + _tell_missing(own)
+    return Explanation(own, state_changes, cause)
 
 
 def _was_believed(line: Line, own: tuple[Line, ...]) -> bool:
@@ -150,7 +150,7 @@
     return line.name in _ENDS and line.detail.get('digest') in digests
 
 
-def _find_cause(own: tuple[Line, ...], beliefs: tuple[Line, ...]) -> str:
+def _find_cause(own: tuple[Line, ...], state_changes: tuple[Line, ...]) -> str:
     reasons = [
         str(line.detail.get('reason'))
         for line in own
@@ -158,7 +158,7 @@
     ]
     if reasons:
         reason = reasons[-1].partition(',')[0]
-        return _add_belief(_CAUSES.get(reason, reasons[-1]), beliefs)
+        return _add_belief(_CAUSES.get(reason, reasons[-1]), state_changes)
     failed = [line for line in own if line.name == 'exchange-failed']
     last = own[-1].name
     if last == 'exchange-left':
@@ -167,7 +167,7 @@
         where = failed[-1].detail
         what = where.get('reason') or f'status {where.get("status")}'
         told = f'replica {where.get("replica")} failed it: {what}'
-        return _add_belief(told, beliefs)
+        return _add_belief(told, state_changes)
     if last == 'exchange-ended':
         return 'it was answered'
     return 'its end is not in these lines'
@@ -181,10 +181,10 @@
     return f'; it went to a replica whose entry was missing for {seconds} s'
 
 
-def _add_belief(cause: str, beliefs: tuple[Line, ...]) -> str:
-    if not beliefs:
+def _add_belief(cause: str, state_changes: tuple[Line, ...]) -> str:
+    if not state_changes:
         return cause
-    line = beliefs[-1]
+    line = state_changes[-1]
     return f'{cause}; the last change before: {line.name}'
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -1,21 +1,21 @@
 """Engines that hold ranges of layers: what they can do, who holds what."""
 
-from ryelatch_core.fleet._accounts import AccountBook
-from ryelatch_core.fleet._durations import DurationBook
-from ryelatch_core.fleet._failures import FailureBook
-from ryelatch_core.fleet._heads import rank_heads
-from ryelatch_core.fleet._load import NO_LOAD, LoadBook, LoadEstimate
-from ryelatch_core.fleet._paces import PaceBook
+from ryelatch_core.fleet._accounts import AccountTracker
+from ryelatch_core.fleet._durations import DurationTracker
+from ryelatch_core.fleet._failures import FailureTracker
+from ryelatch_core.fleet._heads import rank_first_replicas
+from ryelatch_core.fleet._load import NO_LOAD, LoadTracker, LoadEstimate
+from ryelatch_core.fleet._paces import StepFactorTracker
 from ryelatch_core.fleet._path import choose_path
 from ryelatch_core.fleet._performance import (
     estimate_capacity,
     estimate_step,
     fit_layers,
 )
-from ryelatch_core.fleet._plan import misses_layers, plan_moves
+from ryelatch_core.fleet._plan import lacks_layers, plan_moves
 from ryelatch_core.fleet._pool import Move
 from ryelatch_core.fleet._prices import PathQuery
-from ryelatch_core.fleet._returns import ReturnPlan
+from ryelatch_core.fleet._returns import RetryScheduler
 from ryelatch_core.fleet._suspicion import (
     FULL_SECONDS,
     UNREACHABLE_SECONDS,
@@ -27,37 +27,37 @@
     ModelProfile,
     Replica,
     Stage,
-    name_life,
+    name_incarnation,
 )
-from ryelatch_core.fleet._window import LATE_SHARE, Windows
+from ryelatch_core.fleet._window import LATE_FRACTION, ConcurrencyWindows
 
 __all__ = [
     'FULL_SECONDS',
-    'LATE_SHARE',
+    'LATE_FRACTION',
     'NO_LOAD',
     'UNREACHABLE_SECONDS',
     'Accelerator',
-    'AccountBook',
-    'DurationBook',
-    'FailureBook',
+    'AccountTracker',
+    'DurationTracker',
+    'FailureTracker',
     'LayerRange',
-    'LoadBook',
+    'LoadTracker',
     'LoadEstimate',
     'ModelProfile',
     'Move',
-    'PaceBook',
+    'StepFactorTracker',
     'PathQuery',
     'Replica',
-    'ReturnPlan',
+    'RetryScheduler',
     'Stage',
     'Suspects',
-    'Windows',
+    'ConcurrencyWindows',
     'choose_path',
     'estimate_capacity',
     'estimate_step',
     'fit_layers',
-    'misses_layers',
-    'name_life',
+    'lacks_layers',
+    'name_incarnation',
     'plan_moves',
-    'rank_heads',
+    'rank_first_replicas',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_accounts.py
@@ -10,7 +10,7 @@
 
 from collections import Counter
 
-BEYOND_SHARE = 2.5
+MAX_SHARE_MULTIPLE = 2.5
 """How many times its equal share an account has when it is beyond it.
 
 Accounts differ: the largest of ten mostly has twice an equal share. Below this,
@@ -21,7 +21,7 @@
 """Requests in progress below which no account is heavy."""
 
 
-class AccountBook:
+class AccountTracker:
     """What each client account has in progress at this node."""
 
     def __init__(self) -> None:
@@ -37,10 +37,10 @@
         if self._requests[account] <= 0:
             del self._requests[account]
 
-    def is_heavy(self, account: str) -> bool:
+    def exceeds_share(self, account: str) -> bool:
         """Whether an account has more than its share."""
         own = self._requests.get(account, 0)
         busy = len(self._requests)
         if own < _LEAST_REQUESTS or busy < 2:
             return False
-        return own > BEYOND_SHARE * self._requests.total() / busy
+        return own > MAX_SHARE_MULTIPLE * self._requests.total() / busy
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -20,7 +20,7 @@
 _ROOMS = range(_MOST_ROOM, LEAST_ROOM - 1, -4)
 """Usual requests for which a replica keeps room, tried from the most."""
 
-_RESERVE_SHARE = 0.65
+_RESERVE_RATIO = 0.65
 """Share of a copy's room that must be left beside what is held in reserve.
 
 Below that callers wait for places on a calm day.
@@ -120,7 +120,7 @@
         return whole
     first, standby, *others = ordered
     holders = [first, *others]
-    least = _find_room(ordered, profile) * _RESERVE_SHARE
+    least = _find_room(ordered, profile) * _RESERVE_RATIO
     if _find_room(holders, profile) < max(least, LEAST_ROOM):
         return whole
     return _Roles(holders, standby)
@@ -162,7 +162,7 @@
     """
     most = _find_room(ordered, profile)
     spared = _find_room(ordered[:-_SPARES], profile)
-    if spared >= most * _RESERVE_SHARE:
+    if spared >= most * _RESERVE_RATIO:
         most = spared
     return fit_pool(ordered, profile, most or LEAST_ROOM)
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_durations.py
@@ -33,12 +33,12 @@
 
 
 @dataclass(eq=False)
-class DurationBook:
+class DurationTracker:
     """The mean of how long requests took, by replica."""
 
     _means: dict[str, _Mean] = field(default_factory=dict)
 
-    def note(self, name: str, seconds: float, now: float) -> None:
+    def record(self, name: str, seconds: float, now: float) -> None:
         """Note how long a request took, answered or given up.
 
         :param now: monotonic seconds.
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_failures.py
@@ -45,14 +45,14 @@
     noted: float
 
 
-class FailureBook:
+class FailureTracker:
     """What a node saw of failures, by replica and by route."""
 
     def __init__(self) -> None:
         self._usual: dict[str, float] = {}
         self._found: dict[str, _Evidence] = {}
 
-    def note(
+    def record(
         self,
         replica: str,
         route: str,
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_heads.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_heads.py
@@ -13,7 +13,7 @@
 _HASH_BYTES = 8
 
 
-def rank_heads(digest: str, replicas: Iterable[Replica]) -> list[Replica]:
+def rank_first_replicas(digest: str, replicas: Iterable[Replica]) -> list[Replica]:
     """Rank first replicas for such a request, the best one first.
 
     Those come first beside which another one holds the first layers in their
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_load.py
@@ -69,7 +69,7 @@
 """Nothing in progress anywhere."""
 
 
-class LoadBook:
+class LoadTracker:
     """What this node has at each replica, by name, and how long it waited.
 
     A node sees its own requests only. That others crowd a replica, or that
@@ -84,7 +84,7 @@
         self._began: float | None = None
         self._excess: dict[str, tuple[float, float]] = {}
 
-    def note_first(
+    def record_first_event(
         self,
         path: Iterable[Stage],
         seconds: float,
@@ -116,7 +116,7 @@
             name: mean for name, mean in self._means.items() if name in names
         }
 
-    def share_among(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Take note of how many nodes there are."""
         self._nodes = nodes
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_paces.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_paces.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(eq=False)
-class PaceBook:
+class StepFactorTracker:
     """What replicas said of their own pace, by name."""
 
     _slow: dict[str, tuple[float, float]] = field(default_factory=dict)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_performance.py
@@ -17,8 +17,8 @@
 
     :param requests: usual requests in progress at once.
     """
-    tokens = profile.usual_prompt + profile.usual_answer
-    per_layer = profile.layer_mb + requests * tokens * profile.cache_mb
+    tokens = profile.typical_prompt + profile.typical_answer
+    per_layer = profile.layer_mb + requests * tokens * profile.kv_cache_mb
     return min(profile.layers, int(accelerator.memory_mb / per_layer))
 
 
@@ -29,7 +29,7 @@
 ) -> float:
     """Estimate the tokens whose caches fit beside a range of layers."""
     free = accelerator.memory_mb - len(layers) * profile.layer_mb
-    return max(0, free / (len(layers) * profile.cache_mb))
+    return max(0, free / (len(layers) * profile.kv_cache_mb))
 
 
 def estimate_step(
@@ -42,7 +42,7 @@
 
     :param writers: requests that the replica writes for at once.
     """
-    whole = profile.step_ms + writers * profile.writer_ms
+    whole = profile.step_ms + writers * profile.sequence_ms
     share = layers / profile.layers
     return whole * accelerator.step_factor * share / _MS
 
@@ -55,5 +55,5 @@
 ) -> float:
     """Estimate the seconds of reading a prompt through some layers."""
     share = layers / profile.layers
-    whole = tokens / profile.read_per_ms
+    whole = tokens / profile.prefill_tokens_per_ms
     return whole * accelerator.read_factor * share / _MS
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_plan.py
@@ -75,24 +75,24 @@
     replicas: Iterable[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool = False,
+    allow_relayout: bool = False,
 ) -> tuple[Move, ...]:
     """Plan the orders that complete and improve each zone's copies.
 
     :param replicas: all replicas of the service that are alive.
-    :param thorough: whether pools may be laid out anew whose gaps no single
+    :param allow_relayout: whether pools may be laid out anew whose gaps no single
         steps can close.
     :returns: nothing where no step helps enough.
     """
     return tuple(
         itertools.chain.from_iterable(
-            _plan_pool(pool, profile, thorough=thorough)
+            _plan_pool(pool, profile, allow_relayout=allow_relayout)
             for pool in make_pools(replicas, profile)
         )
     )
 
 
-def misses_layers(
+def lacks_layers(
     replicas: Iterable[Replica],
     profile: ModelProfile,
 ) -> bool:
@@ -107,18 +107,18 @@
     pool: list[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool,
+    allow_relayout: bool,
 ) -> list[Move]:
     if not any(replica.layers for replica in pool):
         return lay_copies(pool, profile)
-    return _improve(pool, profile, thorough=thorough)
+    return _improve(pool, profile, allow_relayout=allow_relayout)
 
 
 def _improve(
     pool: list[Replica],
     profile: ModelProfile,
     *,
-    thorough: bool,
+    allow_relayout: bool,
 ) -> list[Move]:
     """Close the gaps with the most room left, and improve what is whole.
 
@@ -132,11 +132,11 @@
         *itertools.product(_AMPLE_ROOMS + _SCARCE_ROOMS, (True,)),
     ):
         plan = PoolPlan(pool, profile)
-        terms = _Terms(room, thorough, moves_spared)
+        terms = _Terms(room, allow_relayout, moves_spared)
         moves = _take_steps(pool, plan, terms)
         if plan.find_gap() is None:
             return moves
-    return lay_anew(pool, profile) if thorough else moves
+    return lay_anew(pool, profile) if allow_relayout else moves
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,12 +144,12 @@
     """What the steps of a plan may do.
 
     :param room: usual requests for which a changed replica keeps room.
-    :param thorough: whether gaps have lasted.
+    :param allow_relayout: whether gaps have lasted.
     :param moves_spared: whether replicas may move that stand in for others.
     """
 
     room: int
-    thorough: bool
+    allow_relayout: bool
     moves_spared: bool
 
 
@@ -213,7 +213,7 @@
     elif gap is not None:
         most = fit_replica(replica, plan.profile, terms.room)
         yield from _list_growths(replica, layers, most, gap)
-        moves = terms.thorough and terms.moves_spared
+        moves = terms.allow_relayout and terms.moves_spared
         if moves and plan.is_spared(replica):
             yield from _list_windows(replica, plan, terms.room, gap)
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_pool.py
@@ -56,7 +56,7 @@
         self.profile = profile
         self.held = {one.name: one.layers for one in pool}
         self.tokens = list(itertools.repeat(0.0, profile.layers))
-        self._usual = profile.usual_prompt + profile.usual_answer
+        self._usual = profile.typical_prompt + profile.typical_answer
         self._heads = 0
         self._head_weight = HEAD_SHARE * self._weigh_even(pool)
         for replica in pool:
@@ -149,7 +149,7 @@
         free = memory / profile.layers - profile.layer_mb
         if free <= 0:
             return 0
-        return profile.layers * (self._usual * profile.cache_mb / free) ** 2
+        return profile.layers * (self._usual * profile.kv_cache_mb / free) ** 2
 
     def _weigh_layer(self, tokens: float) -> float:
         if tokens <= 1:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_prices.py
@@ -69,13 +69,13 @@
     :param prompt: tokens to be read.
     :param answer: tokens expected to be written.
     :param avoid: names of replicas not to use.
-    :param own_tokens: tokens of this node's requests at each replica.
+    :param local_tokens: tokens of this node's requests at each replica.
     :param load: what all nodes are taken to have there.
     :param excess: seconds by which paths through a replica were late.
     :param paces: factors by which replicas said that they are slower.
     :param closed: names of replicas where no path may begin.
     :param head: the stage that must come first, if any.
-    :param kept: names of replicas that have read the request already.
+    :param prefilled: names of replicas that have read the request already.
     :param crosses: whether the path may change zones in its middle.
     """
 
@@ -85,13 +85,13 @@
     answer: int
     draw: Callable[[], float]
     avoid: frozenset[str] = frozenset()
-    own_tokens: Mapping[str, int] = field(default_factory=dict)
+    local_tokens: Mapping[str, int] = field(default_factory=dict)
     load: LoadEstimate = NO_LOAD
     excess: Mapping[str, float] = field(default_factory=dict)
     paces: Mapping[str, float] = field(default_factory=dict)
     closed: frozenset[str] = frozenset()
     head: Stage | None = None
-    kept: frozenset[str] = frozenset()
+    prefilled: frozenset[str] = frozenset()
     crosses: bool = True
 
 
@@ -103,7 +103,7 @@
     rates: dict[str, float] = {}
     for replica in usable:
         room = _estimate_room(replica, query)
-        own = query.own_tokens.get(replica.name, 0)
+        own = query.local_tokens.get(replica.name, 0)
         wanted = query.prompt + query.answer
         if own + wanted <= room:
             taken = query.load.tokens.get(replica.name, 0)
@@ -128,7 +128,7 @@
     reading = estimate_reading(profile, accelerator, 1, query.prompt)
     crowding = 1 + min(fullness, _CROWDED) ** 2
     noise = _draw_noise(query)
-    if replica.name in query.kept:
+    if replica.name in query.prefilled:
         reading = 0
         noise = 1
     late = query.excess.get(replica.name, 0) * EXCESS_WEIGHT / profile.layers
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_returns.py
@@ -12,7 +12,7 @@
 PACE_SECONDS = 2.0
 """Time over which the pace of places is averaged: that of a usual answer."""
 
-RETURN_SHARE = 0.25
+RETRY_FRACTION = 0.25
 """Share of the places that those who return are taken to get.
 
 The others go to those who come for the first time, as an answer that is in
@@ -32,7 +32,7 @@
 """Share of the longest wait over which turns beyond it are spread."""
 
 
-class ReturnPlan:
+class RetryScheduler:
     """Turns for refused clients, as one node gives them."""
 
     def __init__(self) -> None:
@@ -40,18 +40,18 @@
         self._noted = 0.0
         self._last = 0.0
 
-    def note_start(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Note that a request got a place."""
         self._pace = self._decay(now) + 1 / PACE_SECONDS
         self._noted = now
 
-    def give_turn(self, now: float, left: float, chance: float) -> float:
+    def assign_delay(self, now: float, left: float, chance: float) -> float:
         """Tell a refused client after how many seconds it may come back.
 
         :param left: seconds that it goes on waiting for an answer.
         :param chance: from 0 to 1.
         """
-        pace = max(LEAST_PACE, self._decay(now) * RETURN_SHARE)
+        pace = max(LEAST_PACE, self._decay(now) * RETRY_FRACTION)
         turn = max(now + LEAST_SECONDS, self._last + 1 / pace)
         longest = left * LONGEST_SHARE
         if turn - now >= longest:
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_rows.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_rows.py
@@ -82,6 +82,6 @@
         left -= layers
         step += estimate_step(profile, accelerator, layers, room)
         reading += estimate_reading(
-            profile, accelerator, layers, int(profile.usual_prompt)
+            profile, accelerator, layers, int(profile.typical_prompt)
         )
-    return room / (step * profile.usual_answer + reading)
+    return room / (step * profile.typical_answer + reading)
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -30,7 +30,7 @@
 
     :param name: of this life; a restart has a new one.
     :param entry: the registry's name for it, which a later life may share.
-    :param born: when this life began, in milliseconds; 0 if it didn't say.
+    :param started_at: when this life began, in milliseconds; 0 if it didn't say.
     :param address: ``host:port``; may belong to another replica later.
     :param accelerator: its kind; empty for a plain service.
     :param layers: what it holds, or nothing yet.
@@ -49,7 +49,7 @@
     slots: int = 1
     leaving: bool = False
     entry: str = ''
-    born: int = 0
+    started_at: int = 0
 
     def __post_init__(self) -> None:
         """Take the name for the entry's where lives are not told apart."""
@@ -57,12 +57,12 @@
             object.__setattr__(self, 'entry', self.name)
 
 
-def name_life(entry: str, born: int) -> str:
+def name_incarnation(entry: str, started_at: int) -> str:
     """Name the life of a replica that the registry lists under an entry.
 
-    :param born: milliseconds; 0 where lives are not told apart.
+    :param started_at: milliseconds; 0 where lives are not told apart.
     """
-    return f'{entry}+{born}' if born else entry
+    return f'{entry}+{started_at}' if started_at else entry
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,24 +85,24 @@
 
     Times are for all layers; a part of them takes its share.
 
-    :param cache_mb: memory of one token in one layer.
+    :param kv_cache_mb: memory of one token in one layer.
     :param step_ms: of one token step, whatever the batch.
-    :param writer_ms: added to a step for each request that writes.
-    :param read_per_ms: tokens of prompts read in a millisecond.
+    :param sequence_ms: added to a step for each request that writes.
+    :param prefill_tokens_per_ms: tokens of prompts read in a millisecond.
     :param load_seconds: to load all layers.
-    :param usual_prompt: mean tokens of a prompt.
-    :param usual_answer: mean tokens of an answer.
+    :param typical_prompt: mean tokens of a prompt.
+    :param typical_answer: mean tokens of an answer.
     """
 
     layers: int
     layer_mb: float
-    cache_mb: float
+    kv_cache_mb: float
     step_ms: float
-    writer_ms: float
-    read_per_ms: float
+    sequence_ms: float
+    prefill_tokens_per_ms: float
     load_seconds: float
-    usual_prompt: float
-    usual_answer: float
+    typical_prompt: float
+    typical_answer: float
     accelerators: Mapping[str, Accelerator]
 
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_window.py
@@ -34,13 +34,13 @@
 SHRINK_REFUSED = 0.7
 """The same after a refusal for want of room, which comes of a full queue."""
 
-LEAST_WINDOW = 0.1
+MIN_WINDOW = 0.1
 """Below one, a window is the chance that a request may go there at all.
 
 Where there are more nodes than slots, one request of each would be too many.
 """
 
-YIELDING_SHARE = 0.8
+YIELDING_FRACTION = 0.8
 """Share of a window that requests may use which leave a part to others.
 
 These are requests whose answers are late anyway, as they were refused before:
@@ -49,7 +49,7 @@
 client accounts that have more than their share in progress.
 """
 
-LATE_SHARE = 0.5
+LATE_FRACTION = 0.5
 """Share of the objective that the first event of a free path stays below.
 
 Reading a long prompt takes 0.1 s; the rest is for the callers' own way.
@@ -87,7 +87,7 @@
     rests: float
 
 
-class Windows:
+class ConcurrencyWindows:
     """The windows of one node, by name of the first replica.
 
     :param draw: draws numbers from 0 to 1.
@@ -113,7 +113,7 @@
 
         :param yields: whether the request leaves a part to others.
         """
-        share = YIELDING_SHARE if yields else 1
+        share = YIELDING_FRACTION if yields else 1
         return frozenset(
             name
             for name, window in self._windows.items()
@@ -125,7 +125,7 @@
         window = self._windows.get(name)
         return math.inf if window is None else window.limit
 
-    def note_first(
+    def record_first_event(
         self,
         name: str,
         seconds: float,
@@ -136,12 +136,12 @@
 
         :param objective: seconds in which the caller wants it.
         """
-        if seconds > objective * LATE_SHARE:
+        if seconds > objective * LATE_FRACTION:
             self._shrink(name, SHRINK_LATE, now)
         else:
             self._grow(name)
 
-    def note_full(self, name: str, now: float) -> None:
+    def record_refusal(self, name: str, now: float) -> None:
         """Note a refusal for want of room at a first replica."""
         self._shrink(name, SHRINK_REFUSED, now)
 
@@ -163,7 +163,7 @@
         if now < window.rests:
             return
         most = min(window.limit, max(1, self.requests[name]))
-        window.limit = max(LEAST_WINDOW, most * share)
+        window.limit = max(MIN_WINDOW, most * share)
         window.rests = now + REST_SECONDS
 
     def _grow(self, name: str) -> None:
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_app.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_app.py
@@ -39,11 +39,11 @@
     def __init__(
         self,
         clock: Clock | None = None,
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.hub = Hub()
         self.clock = clock or SystemClock()
-        self.chance = chance or random.Random()
+        self.random_source = random_source or random.Random()
         self._services: dict[str, Service] = {}
         self._running: list[Service] = []
 
--- a/packages/ryelatch-core/src/ryelatch_core/kernel/_lag.py
+++ b/packages/ryelatch-core/src/ryelatch_core/kernel/_lag.py
@@ -26,7 +26,7 @@
 
     _late_at: float = float('-inf')
 
-    def note(self, due: float, now: float) -> bool:
+    def record(self, due: float, now: float) -> bool:
         """Note that something which was due at a time runs now.
 
         :returns: whether that is late.
--- a/packages/ryelatch-core/src/ryelatch_core/membership/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/__init__.py
@@ -1,17 +1,17 @@
 """Who is there, who leaves, who speaks to whom."""
 
 from ryelatch_core.membership._departure import (
-    ANSWER_SECONDS,
+    STORE_OVERDUE_SECONDS,
     NEVER,
-    SEND_SECONDS,
-    DepartureTerms,
-    reckon_terms,
+    CONNECT_TIMEOUT_SECONDS,
+    DepartureBounds,
+    compute_departure_bounds,
 )
 from ryelatch_core.membership._lease import (
-    ORDER_SECONDS,
+    COMMAND_TIMEOUT_SECONDS,
     TTL_SECONDS,
     Lease,
-    may_order,
+    may_send_command,
     release_lease,
     take_lease,
 )
@@ -30,12 +30,12 @@
 )
 
 __all__ = [
-    'ANSWER_SECONDS',
+    'STORE_OVERDUE_SECONDS',
     'NEVER',
-    'ORDER_SECONDS',
-    'SEND_SECONDS',
+    'COMMAND_TIMEOUT_SECONDS',
+    'CONNECT_TIMEOUT_SECONDS',
     'TTL_SECONDS',
-    'DepartureTerms',
+    'DepartureBounds',
     'Lease',
     'Member',
     'NodeEntry',
@@ -44,8 +44,8 @@
     'Vm',
     'choose_peers',
     'choose_watchers',
-    'may_order',
-    'reckon_terms',
+    'may_send_command',
+    'compute_departure_bounds',
     'release_lease',
     'shares_watches',
     'should_watch',
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -21,14 +21,14 @@
 NEVER = float('-inf')
 """When a call was left unanswered, where none was."""
 
-SEND_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 """Longest wait for a connection to an upstream.
 
 A VM that is up answers within two milliseconds, in another zone too. One
 that is down answers nothing; half a second later the request is elsewhere.
 """
 
-ANSWER_SECONDS = 0.5
+STORE_OVERDUE_SECONDS = 0.5
 """How long the store's answer may be overdue until it counts as lost.
 
 It answers in 4 ms, and on slow days in 240 ms. All else that waits for it, an
@@ -46,31 +46,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DepartureTerms:
+class DepartureBounds:
     """What a node has to keep so that no request comes too late.
 
     :param bound: seconds for which a replica that leaves may get requests.
-    :param oldest: age of the list that is not passed while the store answers.
-    :param kept: seconds for which a missing entry is used, from when the last
+    :param max_age: age of the list that is not passed while the store answers.
+    :param retention: seconds for which a missing entry is used, from when the last
         call was sent that the store left unanswered.
     """
 
     bound: float
-    oldest: float
-    kept: float
+    max_age: float
+    retention: float
 
 
-def reckon_terms(bound: float, steady: float) -> DepartureTerms:
+def compute_departure_bounds(bound: float, steady: float) -> DepartureBounds:
     """Reckon the terms from the platform's bounds.
 
     :param bound: seconds for which a replica that leaves may get requests.
     :param steady: seconds after some trouble for which a node is not held to
         that bound.
     """
-    way = SEND_SECONDS + MARGIN_SECONDS
-    return DepartureTerms(
+    way = CONNECT_TIMEOUT_SECONDS + MARGIN_SECONDS
+    return DepartureBounds(
         bound=bound,
-        oldest=max(bound - way, LEAST_OLDEST_SECONDS),
+        max_age=max(bound - way, LEAST_OLDEST_SECONDS),
         # The outage may have lasted as long as a call takes to be given up.
-        kept=max(0, min(ANSWER_SECONDS + RETURN_SECONDS, steady - way)),
+        retention=max(0, min(STORE_OVERDUE_SECONDS + RETURN_SECONDS, steady - way)),
     )
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_lease.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 TTL_SECONDS = 6.0
-ORDER_SECONDS = 2.0
+COMMAND_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
     return None
 
 
-def may_order(held_since: float, taken: float, now: float) -> bool:
+def may_send_command(held_since: float, taken: float, now: float) -> bool:
     """Decide whether a holder may still send an order.
 
     Some engines ignore fencing numbers, so an order must end before another
@@ -54,8 +54,8 @@
     :param held_since: when the last successful renewal was begun.
     :param taken: when this holder first took the lease.
     """
-    safe_until = held_since + TTL_SECONDS - ORDER_SECONDS
-    return taken + ORDER_SECONDS <= now < safe_until
+    safe_until = held_since + TTL_SECONDS - COMMAND_TIMEOUT_SECONDS
+    return taken + COMMAND_TIMEOUT_SECONDS <= now < safe_until
 
 
 def release_lease(lease: Lease) -> Lease:
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_roster.py
@@ -97,7 +97,7 @@
             del self.members[name]
         return RosterChange(tuple(joined), left, tuple(leaving))
 
-    def note_leaving(self, name: str) -> bool:
+    def record_leaving(self, name: str) -> bool:
         """Note a VM's own word that it leaves; tell whether that was news."""
         member = self.members.get(name)
         if member is None:
@@ -105,7 +105,7 @@
         self.members[name] = replace(member, said=True)
         return not member.leaving
 
-    def note_staying(self, name: str) -> None:
+    def record_staying(self, name: str) -> None:
         """Note a VM's own word, after a restart, that it stays."""
         member = self.members.get(name)
         if member is not None:
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/__init__.py
@@ -3,16 +3,16 @@
 from ryelatch_core.pipeline._chain import (
     Chain,
     ChainError,
-    Offer,
+    Candidate,
     check_chain,
     choose_chain,
-    cut_prompt,
+    split_prompt,
     matches_step,
-    offer_engine,
+    make_candidate,
 )
 from ryelatch_core.pipeline._flow import (
     Machine,
-    Placed,
+    Assignment,
     Placement,
     bound_throughput,
 )
@@ -31,10 +31,10 @@
     decode_frames,
     encode_frames,
 )
-from ryelatch_core.pipeline._pace import Pace, estimate_cost, find_usual
+from ryelatch_core.pipeline._pace import LatencyTracker, estimate_cost, find_typical_latency
 from ryelatch_core.pipeline._placement import (
     Plan,
-    cut_evenly,
+    split_evenly,
     improve_placement,
     place_layers,
 )
@@ -56,10 +56,10 @@
     'Holding',
     'Machine',
     'Move',
-    'Offer',
-    'Pace',
+    'Candidate',
+    'LatencyTracker',
     'Ping',
-    'Placed',
+    'Assignment',
     'Placement',
     'Plan',
     'Pong',
@@ -70,16 +70,16 @@
     'bound_throughput',
     'check_chain',
     'choose_chain',
-    'cut_evenly',
-    'cut_prompt',
+    'split_evenly',
+    'split_prompt',
     'decode_frames',
     'encode_frames',
     'estimate_cost',
     'find_gaps',
-    'find_usual',
+    'find_typical_latency',
     'improve_placement',
     'matches_step',
-    'offer_engine',
+    'make_candidate',
     'place_layers',
     'plan_repair',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_chain.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class Offer:
+class Candidate:
     """An engine that may take part in a chain.
 
     :param cost: seconds that a step is expected to take there now.
@@ -35,7 +35,7 @@
     layer: int = 0
 
 
-Chain = tuple[Offer, ...]
+Chain = tuple[Candidate, ...]
 
 
 def check_chain(
@@ -66,7 +66,7 @@
 
 
 def choose_chain(
-    offers: Iterable[Offer],
+    offers: Iterable[Candidate],
     layers: int,
     version: str,
     hop_cost: dict[tuple[str, str], float],
@@ -104,7 +104,7 @@
 
 def _arrive(
     best: dict[tuple[int, str], tuple[float, Chain]],
-    offer: Offer,
+    offer: Candidate,
     hop_cost: dict[tuple[str, str], float],
 ) -> tuple[float, Chain] | None:
     ways = [
@@ -115,9 +115,9 @@
     return min(ways, key=lambda way: way[0], default=None)
 
 
-def offer_engine(hello: Hello, zone: str, cost: float) -> Offer:
+def make_candidate(hello: Hello, zone: str, cost: float) -> Candidate:
     """Make an offer of what an engine says of itself."""
-    return Offer(hello.name, zone, hello.first, hello.last, hello.version, cost)
+    return Candidate(hello.name, zone, hello.first, hello.last, hello.version, cost)
 
 
 def matches_step(step: Step, receipt: Receipt) -> bool:
@@ -130,7 +130,7 @@
     )
 
 
-def cut_prompt(length: int, chunk: int) -> list[tuple[int, int]]:
+def split_prompt(length: int, chunk: int) -> list[tuple[int, int]]:
     """Cut positions into chunks of a step each, as (start, end) pairs."""
     starts = range(0, length, chunk)
     return list(
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Placed:
+class Assignment:
     """A machine with the layers that it holds or should hold."""
 
     machine: Machine
@@ -35,11 +35,11 @@
         return self.machine.speed / (self.last - self.first)
 
 
-Placement = tuple[Placed, ...]
+Placement = tuple[Assignment, ...]
 
 
 def bound_throughput(
-    placement: Iterable[Placed],
+    placement: Iterable[Assignment],
     layers: int,
     links: Mapping[Pair, float],
 ) -> float:
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_pace.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_pace.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Pace:
+class LatencyTracker:
     """The time between a step and its receipt, smoothed.
 
     It contains what the engine's own reports lag behind with, and a link
@@ -102,7 +102,7 @@
         )
 
 
-def find_usual(paces: Iterable[Pace], now: float) -> float:
+def find_typical_latency(paces: Iterable[LatencyTracker], now: float) -> float:
     """Find the latency that is usual among engines of one range.
 
     :returns: the median of what was heard just now, the lower of two; 0 if
@@ -113,7 +113,7 @@
 
 
 def estimate_cost(
-    pace: Pace,
+    pace: LatencyTracker,
     usual: float,
     streams: int,
     waiting: float,
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_placement.py
@@ -8,7 +8,7 @@
 from ryelatch_core.pipeline._flow import (
     Machine,
     Pair,
-    Placed,
+    Assignment,
     Placement,
     bound_throughput,
 )
@@ -73,7 +73,7 @@
     """List ways to cut: all of them in small, else even ones."""
     stages = range(1, min(layers, MAX_STAGES) + 1)
     if len(machines) > _SMALL or layers > _SMALL:
-        return [cut_evenly(layers, count) for count in stages]
+        return [split_evenly(layers, count) for count in stages]
     return [
         [0, *inner, layers]
         for count in stages
@@ -113,7 +113,7 @@
     return Plan(current, throughput, moved)
 
 
-def cut_evenly(layers: int, stages: int) -> list[int]:
+def split_evenly(layers: int, stages: int) -> list[int]:
     """Cut layers into stages that differ by one layer at most.
 
     :returns: the boundaries, from 0 to the number of layers.
@@ -130,13 +130,13 @@
     """Deal machines out over stages, in the order given."""
     stages = len(bounds) - 1
     filled: list[float] = [0 for _ in range(stages)]
-    dealt: list[Placed] = []
+    dealt: list[Assignment] = []
     in_zone: Counter[tuple[str, int]] = Counter()
     for machine in machines:
         span = _choose_span(machine, bounds, filled, in_zone)
         if span is None:
             continue
-        one = Placed(machine, bounds[span[0]], bounds[span[1]])
+        one = Assignment(machine, bounds[span[0]], bounds[span[1]])
         dealt.append(one)
         for stage in range(*span):
             filled[stage] += one.rate
@@ -235,7 +235,7 @@
     for first, last in ranges:
         if last - first <= one.machine.capacity:
             loaded = sum(layer not in held for layer in range(first, last))
-            moved = Placed(one.machine, first, last)
+            moved = Assignment(one.machine, first, last)
             yield (
                 (*placement[:index], moved, *placement[index + 1 :]),
                 loaded,
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -1,29 +1,29 @@
 """Requests under which replicas end, and when they are refused."""
 
 from ryelatch_core.quarantine._book import (
-    FRESH_SECONDS,
-    Book,
-    Step,
+    CRASH_WINDOW_SECONDS,
+    CrashTracker,
+    StoreWrite,
 )
 from ryelatch_core.quarantine._case import (
     MOST_LIVES,
-    NO_CASE,
-    Case,
-    Manner,
-    StoredCase,
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
 )
-from ryelatch_core.quarantine._causes import MOST_ENDS
+from ryelatch_core.quarantine._causes import CRASH_THRESHOLD
 from ryelatch_core.quarantine._digest import digest_request
 
 __all__ = [
-    'FRESH_SECONDS',
-    'MOST_ENDS',
+    'CRASH_WINDOW_SECONDS',
+    'CRASH_THRESHOLD',
     'MOST_LIVES',
-    'NO_CASE',
-    'Book',
-    'Case',
-    'Manner',
-    'Step',
-    'StoredCase',
+    'NO_CRASHES',
+    'CrashTracker',
+    'Crashes',
+    'RequestPhase',
+    'StoreWrite',
+    'StoredCrashes',
     'digest_request',
 ]
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass, replace
 
 from ryelatch_core.quarantine._case import (
-    NO_CASE,
-    Case,
-    Manner,
-    StoredCase,
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
 )
 from ryelatch_core.quarantine._causes import (
     KEPT_SECONDS,
-    MOST_ENDS,
+    CRASH_THRESHOLD,
     list_causes,
 )
 from ryelatch_core.quarantine._known import Known
 
-FRESH_SECONDS = 0.5
+CRASH_WINDOW_SECONDS = 0.5
 """How long after its first event a run is taken for a cause of an end.
 
 A request that ends replicas does so as it begins to run. One that has run for
@@ -61,19 +61,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class StoreWrite:
     """What the store is to be told.
 
-    :param case: what its object is to say; nothing if it is to go.
+    :param crashes: what its object is to say; nothing if it is to go.
     :param revision: that the object must have; 0 if there must be none.
     """
 
     digest: str
-    case: Case | None
+    crashes: Crashes | None
     revision: int
 
 
-class Book:
+class CrashTracker:
     """The ends that this node and others have seen, by request.
 
     :param patience: from 0 to 1; nodes differ in it, so that they do not
@@ -85,22 +85,22 @@
         self._known: OrderedDict[str, Known] = OrderedDict()
         self._cleared: OrderedDict[str, float] = OrderedDict()
         self._many: set[str] = set()
-        self._refused: dict[str, Case] = {}
+        self._refused: dict[str, Crashes] = {}
 
     def __len__(self) -> int:
         """Count the requests under which replicas have ended."""
         return len(self._known)
 
     @property
-    def refused(self) -> dict[str, Case]:
+    def refused(self) -> dict[str, Crashes]:
         """The requests that are refused, as of the last judgement."""
         return dict(self._refused)
 
-    def find_refused(self, digest: str) -> Case | None:
+    def find_refused(self, digest: str) -> Crashes | None:
         """Find why a request is refused; nothing if it isn't."""
         return self._refused.get(digest)
 
-    def has_news(self, now: float) -> bool:
+    def has_pending_writes(self, now: float) -> bool:
         """Whether the store is to be told of something, now or later."""
         return any(
             self._is_cleared(digest, now) or not known.told.covers(known.own)
@@ -111,11 +111,11 @@
         """Whether a replica has ended under a request that may be why."""
         return digest in self._known and not self._is_cleared(digest, now)
 
-    def note_end(
+    def record_crash(
         self,
         digest: str,
         life: str,
-        manner: Manner,
+        manner: RequestPhase,
         now: float,
     ) -> bool:
         """Note that a replica has ended under a request.
@@ -123,18 +123,18 @@
         :returns: whether that is new.
         """
         known = self._known.get(digest, Known())
-        seen = NO_CASE.add(life, manner)
-        if self._is_cleared(digest, now) or known.case.covers(seen):
+        seen = NO_CRASHES.add(life, manner)
+        if self._is_cleared(digest, now) or known.crashes.covers(seen):
             return False
-        again = bool(known.case.lives)
+        again = bool(known.crashes.incarnations)
         wait = 0 if again else TELL_SECONDS * (0.5 + self._patience)
         due = min(known.due or now + wait, now + wait)
         own = known.own.add(life, manner)
         self._keep(digest, replace(known, own=own, changed=now, due=due))
-        self.judge(now)
+        self.evaluate(now)
         return True
 
-    def note_run(self, digest: str, now: float) -> bool:
+    def record_run(self, digest: str, now: float) -> bool:
         """Note that a request has run and its replica is still there.
 
         :returns: whether a replica had ended under it.
@@ -149,24 +149,24 @@
         if known.stored is None:
             del self._known[digest]
         else:
-            self._keep(digest, replace(known, own=NO_CASE))
-        self.judge(now)
+            self._keep(digest, replace(known, own=NO_CRASHES))
+        self.evaluate(now)
         return True
 
-    def put(self, stored: StoredCase, now: float) -> None:
+    def put(self, stored: StoredCrashes, now: float) -> None:
         """Take what the store holds of a request."""
         known = self._known.get(stored.digest, Known())
         if known.stored and known.stored.revision >= stored.revision:
             return
         self._keep(stored.digest, replace(known, stored=stored, changed=now))
-        self.judge(now)
+        self.evaluate(now)
 
     def remove(self, digest: str, now: float) -> None:
         """Take note that an object was deleted: the request is let in again."""
         self._known.pop(digest, None)
-        self.judge(now)
+        self.evaluate(now)
 
-    def replace(self, listed: Iterable[StoredCase], now: float) -> None:
+    def replace(self, listed: Iterable[StoredCrashes], now: float) -> None:
         """Take all that the store holds.
 
         What it has lost of requests that are refused is written again: the
@@ -179,8 +179,8 @@
                 continue
             if digest in self._refused:
                 due = now + REWRITE_SECONDS * self._patience
-                self._keep(digest, Known(known.case, None, now, due))
-            elif known.own == NO_CASE:
+                self._keep(digest, Known(known.crashes, None, now, due))
+            elif known.own == NO_CRASHES:
                 del self._known[digest]
             else:
                 self._keep(digest, replace(known, stored=None))
@@ -189,9 +189,9 @@
             self._keep(
                 stored.digest, replace(known, stored=stored, changed=now)
             )
-        self.judge(now)
+        self.evaluate(now)
 
-    def judge(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Decide anew which requests are refused."""
         self._many &= self._known.keys()
         suspects = [
@@ -199,7 +199,7 @@
         ]
         self._refused = dict(list_causes(suspects, self._known, now))
 
-    def list_due(self, now: float) -> list[Step]:
+    def list_due_writes(self, now: float) -> list[StoreWrite]:
         """List what the store is to be told now, and forget what lapsed."""
         steps = [
             step
@@ -211,14 +211,14 @@
                 del self._known[digest]
         return steps
 
-    def _find_step(self, digest: str, known: Known, now: float) -> Step | None:
+    def _find_step(self, digest: str, known: Known, now: float) -> StoreWrite | None:
         stored = known.stored
         cleared = self._is_cleared(digest, now)
         if cleared or self._has_lapsed(digest, known, now):
-            return Step(digest, None, stored.revision) if stored else None
+            return StoreWrite(digest, None, stored.revision) if stored else None
         if now < known.due or known.told.covers(known.own):
             return None
-        return Step(digest, known.case, stored.revision if stored else 0)
+        return StoreWrite(digest, known.crashes, stored.revision if stored else 0)
 
     def _is_cleared(self, digest: str, now: float) -> bool:
         ran = self._cleared.get(digest)
@@ -228,7 +228,7 @@
         lasts = SUSPECT_SECONDS
         if digest in self._many:
             lasts = KEPT_SECONDS
-        if known.own == NO_CASE:
+        if known.own == NO_CRASHES:
             lasts += LEFT_SECONDS * (0.5 + self._patience)
         return now - known.changed > lasts
 
@@ -236,7 +236,7 @@
         """Keep what is known, and forget the oldest that is not refused."""
         self._known[digest] = known
         self._known.move_to_end(digest)
-        if len(known.case.lives) >= MOST_ENDS:
+        if len(known.crashes.incarnations) >= CRASH_THRESHOLD:
             self._many.add(digest)
         if len(self._known) > MOST_CASES:
             oldest = (one for one in self._known if one not in self._refused)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_case.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_case.py
@@ -7,7 +7,7 @@
 """Lives kept of one request, in each manner; three are enough to refuse it."""
 
 
-class Manner(enum.Enum):
+class RequestPhase(enum.Enum):
     """How far a request had come at a replica that ended."""
 
     BEGUN = 'begun'
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class Crashes:
     """Replicas that ended under one request, by the names of their lives.
 
     A life, and neither an entry nor an address: a replica that ends twice
@@ -32,32 +32,32 @@
     waiting: frozenset[str] = frozenset()
 
     @property
-    def lives(self) -> frozenset[str]:
+    def incarnations(self) -> frozenset[str]:
         """All of them."""
         return self.begun | self.waiting
 
-    def add(self, life: str, manner: Manner) -> 'Case':
+    def add(self, life: str, manner: RequestPhase) -> 'Crashes':
         """Add one; what is known to have begun no longer counts as waiting."""
-        if manner is Manner.BEGUN:
-            return self.merge(Case(begun=frozenset((life,))))
-        return self.merge(Case(waiting=frozenset((life,))))
+        if manner is RequestPhase.BEGUN:
+            return self.merge(Crashes(begun=frozenset((life,))))
+        return self.merge(Crashes(waiting=frozenset((life,))))
 
-    def merge(self, other: 'Case') -> 'Case':
+    def merge(self, other: 'Crashes') -> 'Crashes':
         """Put together what two nodes have seen."""
         begun = self.begun | other.begun
         waiting = (self.waiting | other.waiting) - begun
-        return Case(_cut(begun), _cut(waiting))
+        return Crashes(_cut(begun), _cut(waiting))
 
-    def covers(self, other: 'Case') -> bool:
+    def covers(self, other: 'Crashes') -> bool:
         """Whether another tells nothing new."""
         return self.merge(other) == self
 
 
-NO_CASE = Case()
+NO_CRASHES = Crashes()
 
 
 @dataclass(frozen=True, slots=True)
-class StoredCase:
+class StoredCrashes:
     """A case as the store holds it.
 
     :param revision: of its object; a write under the condition that it is
@@ -65,11 +65,11 @@
     """
 
     digest: str
-    case: Case
+    crashes: Crashes
     revision: int
 
 
-def _cut(lives: frozenset[str]) -> frozenset[str]:
-    if len(lives) <= MOST_LIVES:
-        return lives
-    return frozenset(sorted(lives)[:MOST_LIVES])
+def _cut(incarnations: frozenset[str]) -> frozenset[str]:
+    if len(incarnations) <= MOST_LIVES:
+        return incarnations
+    return frozenset(sorted(incarnations)[:MOST_LIVES])
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -3,10 +3,10 @@
 import itertools
 from collections.abc import Iterable, Iterator, Mapping
 
-from ryelatch_core.quarantine._case import Case
+from ryelatch_core.quarantine._case import Crashes
 from ryelatch_core.quarantine._known import Known
 
-MOST_ENDS = 3
+CRASH_THRESHOLD = 3
 """Replicas that may end under a request before it is refused.
 
 Two may end by chance under one that is resent where a group of them is lost;
@@ -38,7 +38,7 @@
     many: Iterable[str],
     book: Mapping[str, Known],
     now: float,
-) -> Iterator[tuple[str, Case]]:
+) -> Iterator[tuple[str, Crashes]]:
     """List the requests that explain the ends, those of most ends first.
 
     What one of them explains speaks against no other. Requests that were
@@ -54,14 +54,14 @@
     explained: set[str] = set()
     for digest, known in ranked:
         if _is_cause(known, now, frozenset(explained), begun):
-            explained |= known.case.lives
-            if now - known.changed < _find_term(known.case):
-                yield digest, known.case
+            explained |= known.crashes.incarnations
+            if now - known.changed < _find_term(known.crashes):
+                yield digest, known.crashes
 
 
 def _rank(entry: tuple[str, Known]) -> tuple[int, int, str]:
-    digest, case = entry[0], entry[1].case
-    return -len(case.begun), -len(case.waiting), digest
+    digest, crashes = entry[0], entry[1].crashes
+    return -len(crashes.begun), -len(crashes.waiting), digest
 
 
 def _is_cause(
@@ -75,21 +75,21 @@
     Those that waited at a replica are cleared of its end by a request that
     had begun there. Its node may not have told of it yet.
     """
-    begun = known.case.begun - explained
-    if len(begun) >= MOST_ENDS:
+    begun = known.crashes.begun - explained
+    if len(begun) >= CRASH_THRESHOLD:
         return True
     if now - known.changed < SETTLE_SECONDS:
         return False
-    unexplained = known.case.waiting - explained - begun_anywhere
-    return len(begun | unexplained) >= MOST_ENDS
+    unexplained = known.crashes.waiting - explained - begun_anywhere
+    return len(begun | unexplained) >= CRASH_THRESHOLD
 
 
 def _list_begun(book: Iterable[Known]) -> frozenset[str]:
-    cases = (known.case.begun for known in book)
+    cases = (known.crashes.begun for known in book)
     return frozenset(itertools.chain.from_iterable(cases))
 
 
-def _find_term(case: Case) -> float:
+def _find_term(crashes: Crashes) -> float:
     """Find for how many seconds a request is refused after its last end."""
-    more = len(case.lives) - MOST_ENDS
+    more = len(crashes.incarnations) - CRASH_THRESHOLD
     return min(KEPT_SECONDS, REFUSED_SECONDS * REFUSED_GROWTH**more)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_known.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_known.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine._case import NO_CASE, Case, StoredCase
+from ryelatch_core.quarantine._case import NO_CRASHES, Crashes, StoredCrashes
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,17 +15,17 @@
     :param due: when the store is told of it.
     """
 
-    own: Case = NO_CASE
-    stored: StoredCase | None = None
+    own: Crashes = NO_CRASHES
+    stored: StoredCrashes | None = None
     changed: float = 0
     due: float = 0
 
     @property
-    def told(self) -> Case:
+    def told(self) -> Crashes:
         """What the store holds."""
-        return self.stored.case if self.stored else NO_CASE
+        return self.stored.crashes if self.stored else NO_CRASHES
 
     @property
-    def case(self) -> Case:
+    def crashes(self) -> Crashes:
         """All that is known."""
         return self.own.merge(self.told)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_confirmation.py
@@ -33,7 +33,7 @@
         self.confirmed = max(self.confirmed, sent)
 
     @property
-    def oldest(self) -> float:
+    def max_age(self) -> float:
         """Age at which keys are no longer accepted."""
         return self.bound - REVOKE_MARGIN
 
@@ -47,4 +47,4 @@
 
     def left(self, now: float) -> float:
         """Seconds for which keys may be accepted without another word."""
-        return self.oldest - self.age(now)
+        return self.max_age - self.age(now)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/_types.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import ModelProfile
 
 
-class Repeat(enum.Enum):
+class RetryPolicy(enum.Enum):
     """What may be sent again after an attempt whose outcome is unknown."""
 
     ANY = 'any'
@@ -50,7 +50,7 @@
     host: str
     prefix: str
     splits: tuple[Split, ...]
-    repeat: Repeat
+    retry_policy: RetryPolicy
     streaming: bool
     max_attempts: int
     timeout: float
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceTerms:
+class ServiceConfiguration:
     """What upstreams of a service have in common.
 
     :param max_connections: that one upstream accepts from all nodes.
@@ -105,6 +105,6 @@
 
     version: int
     routes: tuple[Route, ...] = ()
-    services: Mapping[str, ServiceTerms] = field(default_factory=dict)
+    services: Mapping[str, ServiceConfiguration] = field(default_factory=dict)
     limits: ClientLimits = ClientLimits()
     accounts: tuple[Account, ...] = ()
--- a/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/__init__.py
@@ -29,10 +29,10 @@
     Tls,
     Zone,
 )
-from ryelatch_core.settings._text import find_base, render_text
+from ryelatch_core.settings._text import find_base_revision, render_text
 from ryelatch_core.settings._tree import (
     AccountEntry,
-    Directory,
+    AccountDirectory,
     EffectivePolicy,
     Origin,
     build_directory,
@@ -48,7 +48,7 @@
     'Address',
     'Bundle',
     'Conflict',
-    'Directory',
+    'AccountDirectory',
     'EffectivePolicy',
     'EngineRules',
     'Index',
@@ -71,7 +71,7 @@
     'diff_parts',
     'digest_blob',
     'explain_policy',
-    'find_base',
+    'find_base_revision',
     'hash_key',
     'join_bundle',
     'rebase',
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_text.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_text.py
@@ -18,7 +18,7 @@
     return f'# base: revision {revision}\n{body}'
 
 
-def find_base(text: str) -> int | None:
+def find_base_revision(text: str) -> int | None:
     """Find the revision that an edited file came from."""
     found = _BASE.search(text)
     return int(found.group(1)) if found else None
--- a/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
+++ b/packages/ryelatch-core/src/ryelatch_core/settings/_tree.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class Directory:
+class AccountDirectory:
     """Client accounts by the hash of each key."""
 
     by_key: Mapping[str, AccountEntry]
@@ -79,7 +79,7 @@
     return replace(parent, **own)
 
 
-def build_directory(settings: Settings) -> Directory:
+def build_directory(settings: Settings) -> AccountDirectory:
     """Work out each client account's policy once per revision."""
     entries = [
         (AccountEntry(path, _finish(policy)), account.keys)
@@ -87,7 +87,7 @@
             settings, 'accounts', inherit(DEFAULTS, settings.policy)
         )
     ]
-    return Directory(
+    return AccountDirectory(
         {key: entry for entry, keys in entries for key in keys},
         {entry.path: entry for entry, _ in entries},
     )
--- a/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
+++ b/packages/ryelatch-core/src/ryelatch_core/streams/_events.py
@@ -10,7 +10,7 @@
     """An upstream sent an event out of order."""
 
 
-class EventCutter:
+class EventSplitter:
     """Passes on whole events, each once and in order.
 
     An upstream that is lost may stop in the middle of an event. The client
@@ -26,15 +26,15 @@
         self._rest = b''
 
     @property
-    def torn(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether part of an event has come whose end has not."""
         return bool(self._rest)
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a torn event, as another upstream goes on."""
         self._rest = b''
 
-    def cut(self, piece: bytes) -> bytes:
+    def feed(self, piece: bytes) -> bytes:
         """Take bytes from the upstream.
 
         :returns: the whole events in them that are due, byte for byte.
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_backoffs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-LONGEST_BACKOFF = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 """Seconds after which a replica is asked again, whatever it said.
 
 One that names a year by mistake would else be lost until it starts anew.
@@ -10,7 +10,7 @@
 
 
 @dataclass(eq=False)
-class BackoffBook:
+class BackoffTracker:
     """Until when replicas want nothing, by the names of their lives.
 
     Only time ends a backoff, or the end of that life: neither a report nor an
@@ -21,7 +21,7 @@
 
     def begin(self, name: str, seconds: float, now: float) -> None:
         """Begin a backoff; of several the latest end counts."""
-        until = now + min(seconds, LONGEST_BACKOFF)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         self._until[name] = max(until, self._until.get(name, until))
 
     def list_names(self, now: float) -> frozenset[str]:
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReportedLimit:
     """What a replica said of its limit.
 
     :param limit: requests a second from all nodes together; nothing if it
@@ -22,12 +22,12 @@
 
 
 @dataclass(eq=False)
-class LimitBook:
+class LimitTracker:
     """The newest word of each replica, by the name of its life."""
 
-    _heard: dict[str, Heard] = field(default_factory=dict)
+    _heard: dict[str, ReportedLimit] = field(default_factory=dict)
 
-    def hear(self, name: str, heard: Heard) -> bool:
+    def record_limit(self, name: str, heard: ReportedLimit) -> bool:
         """Take what a replica said, unless a newer word is known.
 
         :returns: whether it has a limit now and had none, or the reverse.
@@ -43,7 +43,7 @@
         before = None if known is None else known.limit
         return (before is None) != (heard.limit is None)
 
-    def find(self, name: str) -> Heard | None:
+    def find(self, name: str) -> ReportedLimit | None:
         """Find the newest word of one that has, or had, a limit."""
         return self._heard.get(name)
 
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -11,7 +11,7 @@
     Receipt,
     Step,
     StepKey,
-    cut_prompt,
+    split_prompt,
     matches_step,
 )
 from ryelatch_node.upstreams import EngineLink
@@ -113,7 +113,7 @@
             link.streams += 1
         self._open_steps = {}
         self._known_tokens = (*self.prompt, *self.tokens)
-        self._chunks = cut_prompt(len(self._known_tokens), PREFILL_CHUNK_TOKENS)
+        self._chunks = split_prompt(len(self._known_tokens), PREFILL_CHUNK_TOKENS)
         self._send_chunk()
 
     async def read(self) -> list[int]:
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -9,13 +9,13 @@
 from ryelatch_core.outcomes import Failure, Outcome
 from ryelatch_core.pipeline import (
     Chain,
-    Offer,
-    Pace,
+    Candidate,
+    LatencyTracker,
     check_chain,
     choose_chain,
     estimate_cost,
-    find_usual,
-    offer_engine,
+    find_typical_latency,
+    make_candidate,
 )
 from ryelatch_core.retries import RetryBudget
 from ryelatch_core.settings import Model, Startup
@@ -114,7 +114,7 @@
         jitter of the retry delay spreads the retries of clients that were
         cut off at the same time.
         """
-        jitter = _MAX_JITTER_SECONDS * self._app.chance.random()
+        jitter = _MAX_JITTER_SECONDS * self._app.random_source.random()
         return Failure(
             HTTPStatus.SERVICE_UNAVAILABLE,
             code,
@@ -220,7 +220,7 @@
 
     def _make_candidate(
         self, link: EngineLink, typical: float, now: float
-    ) -> Offer:
+    ) -> Candidate:
         """Make a candidate of an engine, with the cost of a step on it.
 
         Activations pass through this node. So the cost depends on the
@@ -238,7 +238,7 @@
             now,
         )
         zone_cost = 0 if link.vm.zone == self._zone else _CROSS_ZONE_SECONDS
-        return offer_engine(hello, link.vm.zone, cost + zone_cost)
+        return make_candidate(hello, link.vm.zone, cost + zone_cost)
 
     async def _watch_latency(self) -> None:
         """Move answers off engines that have become slow.
@@ -293,11 +293,11 @@
     now: float,
 ) -> dict[tuple[int, int], float]:
     """Find the typical step latency for each range of layers."""
-    by_range: dict[tuple[int, int], list[Pace]] = {}
+    by_range: dict[tuple[int, int], list[LatencyTracker]] = {}
     for link in links:
         by_range.setdefault(_layer_range(link), []).append(link.latency_tracker)
     return {
-        layers: find_usual(trackers, now)
+        layers: find_typical_latency(trackers, now)
         for layers, trackers in by_range.items()
     }
 
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
@@ -40,9 +40,9 @@
         return min(age, NEVER_SECONDS)
 
     @property
-    def oldest(self) -> float:
+    def max_age(self) -> float:
         """Age in seconds at which keys are no longer accepted."""
-        return self._confirmation.oldest
+        return self._confirmation.max_age
 
     @property
     def left(self) -> float:
--- a/packages/ryelatch-node/src/ryelatch_node/config/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/_service.py
@@ -11,7 +11,7 @@
 from ryelatch_core.settings import (
     ROOT_KEY,
     Bundle,
-    Directory,
+    AccountDirectory,
     Index,
     Settings,
     blob_key,
@@ -51,7 +51,7 @@
         self.bundle = Bundle(Index(0, {}))
         self.previous = self.bundle
         self.settings = Settings()
-        self.directory: Directory = build_directory(self.settings)
+        self.directory: AccountDirectory = build_directory(self.settings)
         self.should_watch: Callable[[], bool] = lambda: True
         self.confirmed = False
         self._app = app
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
@@ -7,9 +7,9 @@
 from ryelatch_core.events import Timeline, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import (
-    ORDER_SECONDS,
+    COMMAND_TIMEOUT_SECONDS,
     Lease,
-    may_order,
+    may_send_command,
     release_lease,
     take_lease,
 )
@@ -39,7 +39,7 @@
     since: float
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes, proves, renews and gives back leases."""
 
     def __init__(
@@ -96,12 +96,12 @@
                 catalogue.LEASE_LOST, duty=duty, reason='released'
             )
 
-    def may_order(self, duty: str) -> bool:
+    def may_send_command(self, duty: str) -> bool:
         """Tell whether an order may be sent under a lease by now."""
         held = self.held.get(duty)
         if held is None:
             return False
-        return may_order(held.renewed, held.taken, self._clock.monotonic())
+        return may_send_command(held.renewed, held.taken, self._clock.monotonic())
 
     def _note(self, duty: str, entry: Entry | None, now: float) -> float:
         """Note the version of a lease; seconds since it was first seen."""
@@ -130,7 +130,7 @@
         # Only a holder that lapsed may have an order under way; one that gave
         # the lease back has waited for its own.
         lapsed = entry is not None and not _decode(entry).released
-        taken = self._clock.monotonic() if lapsed else begun - ORDER_SECONDS
+        taken = self._clock.monotonic() if lapsed else begun - COMMAND_TIMEOUT_SECONDS
         self.held[duty] = Held(wanted, written.unwrap().version, begun, taken)
         self._timeline.record(
             catalogue.LEASE_TAKEN, duty=duty, fence=wanted.fence
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -8,11 +8,11 @@
 
 from ryelatch_core.events import Timeline, catalogue
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_core.membership import ORDER_SECONDS
+from ryelatch_core.membership import COMMAND_TIMEOUT_SECONDS
 from ryelatch_core.pipeline import Holding, Move, plan_repair
 from ryelatch_core.settings import Model, Startup
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.control._keeper import LeaseKeeper
+from ryelatch_node.control._keeper import LeaseManager
 from ryelatch_node.peers import Peers
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams import EngineLink, Upstreams
@@ -31,7 +31,7 @@
     idle fleet writes nothing to the store.
     """
 
-    def __init__(self, app: App, keeper: LeaseKeeper, name: str) -> None:
+    def __init__(self, app: App, keeper: LeaseManager, name: str) -> None:
         self._app = app
         self._keeper = keeper
         self._name = name
@@ -74,7 +74,7 @@
             return
         if not await self._keeper.take(duty):
             return
-        if self._keeper.may_order(duty):
+        if self._keeper.may_send_command(duty):
             await self._order(duty, name, model, move)
 
     def _plan(self, name: str, model: Model) -> Move | None:
@@ -156,7 +156,7 @@
             async with self._session.post(
                 f'http://{link.vm.address}/v1/orders',
                 json=order,
-                timeout=aiohttp.ClientTimeout(ORDER_SECONDS),
+                timeout=aiohttp.ClientTimeout(COMMAND_TIMEOUT_SECONDS),
             ) as response:
                 return response.status
         except (aiohttp.ClientError, TimeoutError):
@@ -176,7 +176,7 @@
 def setup(app: App) -> None:
     """Add the service ``repair``."""
     name = app.find('startup', Startup).name
-    keeper = LeaseKeeper(
+    keeper = LeaseManager(
         app.find('store', Store),
         app.find('timeline', Timeline),
         app.clock,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
@@ -8,7 +8,7 @@
 from ryelatch_core.fleet import LayerRange, Move, Replica
 from ryelatch_core.kernel import Clock
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty._lease import LeaseKeeper
+from ryelatch_node.duty._lease import LeaseManager
 from ryelatch_node.ports import OrderResult, Orders
 
 LOAD_MARGIN_SECONDS = 2.0
@@ -51,7 +51,7 @@
     configuration: ConfigurationView
     replicas: ReplicaView
     orders: Orders
-    lease: LeaseKeeper
+    lease: LeaseManager
     _pending: dict[str, _Pending] = field(default_factory=dict)
     _sequences: dict[str, int] = field(default_factory=dict)
 
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from ryelatch_core.events import CostBook, LineLog, keep_running
+from ryelatch_core.events import UsageTracker, LineLog, keep_running
 from ryelatch_core.fleet import (
     ModelProfile,
     Move,
     Replica,
-    misses_layers,
+    lacks_layers,
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
@@ -19,7 +19,7 @@
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import TAKE_SPREAD_SECONDS, LeaseKeeper
+from ryelatch_node.duty._lease import TAKE_SPREAD_SECONDS, LeaseManager
 from ryelatch_node.duty._orders import OrderBook
 from ryelatch_node.duty._timing import PlanTiming
 from ryelatch_node.ports import (
@@ -67,17 +67,17 @@
 
     :param missing: whether nobody holds some layer of a pool.
     :param ordered: names of replicas with an order under way.
-    :param thorough: whether pools may be laid out anew.
+    :param allow_relayout: whether pools may be laid out anew.
     """
 
     pools: _Pools
     missing: bool
     ordered: frozenset[str]
-    thorough: bool
+    allow_relayout: bool
 
 
 @dataclass(eq=False)
-class PlacementDuty:
+class PlacementController:
     """Plans, and orders what the plan says if this node holds the lease."""
 
     log: LineLog
@@ -85,8 +85,8 @@
     configuration: ConfigurationView
     replicas: ReplicaView
     orders: Orders
-    lease: LeaseKeeper
-    costs: CostBook = field(default_factory=CostBook)
+    lease: LeaseManager
+    costs: UsageTracker = field(default_factory=UsageTracker)
     _planned: _State | None = None
     _seen: tuple[_Pools, bool] | None = None
     _timing: PlanTiming = field(default_factory=PlanTiming)
@@ -141,7 +141,7 @@
     async def _tend(self) -> None:
         await self._book.review_late()
         now = self.clock.monotonic()
-        with self.costs.spend('look for gaps'):
+        with self.costs.measure_time('look for gaps'):
             state = self._observe(now)
         needed = state is not None and state != self._planned
         self._timing.note_need(now, needed=needed)
@@ -150,7 +150,7 @@
         need_since = self._date_need(state)
         if not await self._take_turn(state, now, need_since):
             return
-        with self.costs.spend('plan'):
+        with self.costs.measure_time('plan'):
             moves = self._plan(state, now)
         # Where a plan orders nothing it stays as it is until something
         # changes. Made anew at each tick, plans took more than half of a
@@ -179,20 +179,20 @@
             pools=pools,
             missing=missing,
             ordered=self._book.open,
-            thorough=self._timing.may_lay_out(now) and not self._book.open,
+            allow_relayout=self._timing.may_lay_out(now) and not self._book.open,
         )
 
     def _misses_layers(self, pools: _Pools) -> bool:
         """Whether layers are missing; worked out when something changed."""
         if self._seen is None or self._seen[0] != pools:
-            missing = any(misses_layers(alive, model) for model, alive in pools)
+            missing = any(lacks_layers(alive, model) for model, alive in pools)
             self._seen = (pools, missing)
         return self._seen[1]
 
     def _list_alive(self, service: str, now: float) -> list[Replica]:
         return [
             self._book.foresee(replica, now)
-            for replica in self.replicas.list_alive(service)
+            for replica in self.replicas.list_reachable(service)
         ]
 
     def _date_need(self, state: _State) -> float:
@@ -228,10 +228,10 @@
         moves = [
             move
             for model, alive in state.pools
-            for move in plan_moves(alive, model, thorough=state.thorough)
+            for move in plan_moves(alive, model, allow_relayout=state.allow_relayout)
             if move.replica.name not in state.ordered
         ]
-        if state.thorough and moves and self.lease.held:
+        if state.allow_relayout and moves and self.lease.held:
             self._timing.note_layout(now)
         return moves
 
@@ -246,18 +246,18 @@
     """Add the service ``placement``."""
     startup = app.find('startup', RelayStartup)
     log = app.find('log', LineLog)
-    duty = PlacementDuty(
+    duty = PlacementController(
         log=log,
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
         orders=app.find('orders', Orders),
-        costs=app.find('costs', CostBook),
-        lease=LeaseKeeper(
+        costs=app.find('costs', UsageTracker),
+        lease=LeaseManager(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
-            spread=app.chance.uniform(0, TAKE_SPREAD_SECONDS),
+            spread=app.random_source.uniform(0, TAKE_SPREAD_SECONDS),
             holder=f'{startup.name}/{uuid.uuid4().hex[:8]}',
         ),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_model.py
@@ -19,7 +19,7 @@
     Failure,
     Outcome,
 )
-from ryelatch_node.admission import Admission, Pass
+from ryelatch_node.admission import Admission, AdmissionSlot
 from ryelatch_node.answers import Answer, AnswerError, Answers, Order
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front import _body as bodies
@@ -47,7 +47,7 @@
 
     order: Order
     answer: Answer
-    granted: Pass
+    granted: AdmissionSlot
     started: float
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
@@ -286,7 +286,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def name_claim(account: str, route: str, key: str) -> str:
+def make_claim_key(account: str, route: str, key: str) -> str:
     """Give the store's key of an account's idempotency key on a route."""
     text = '\0'.join((account, route, key))
     return f'claims/{hashlib.sha256(text.encode()).hexdigest()}'
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine import Step, StoredCase
+from ryelatch_core.quarantine import StoreWrite, StoredCrashes
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     """
 
     answered: bool
-    stored: StoredCase | None = None
+    stored: StoredCrashes | None = None
 
 
 @dataclass(frozen=True)
@@ -28,5 +28,5 @@
     that watches the store.
     """
 
-    carry_out: Callable[[Step], Awaitable[StepResult]]
+    carry_out: Callable[[StoreWrite], Awaitable[StepResult]]
     """Create, replace or delete the object, if it is unchanged."""
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -7,7 +7,7 @@
 
 from ryelatch_core.events import LineLog, catalogue, keep_running
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_core.quarantine import Book, Case, Manner, Step, StoredCase
+from ryelatch_core.quarantine import CrashTracker, Crashes, RequestPhase, StoreWrite, StoredCrashes
 from ryelatch_node.ports import QuarantineStore
 
 TICK_SECONDS = 0.1
@@ -36,7 +36,7 @@
     log: LineLog
     clock: Clock
     store: QuarantineStore
-    book: Book
+    book: CrashTracker
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
     _task: 'asyncio.Task[None] | None' = None
     _told: frozenset[str] = frozenset()
@@ -51,7 +51,7 @@
         """Tell nothing more."""
         await cancel_task(self._task)
 
-    def find_refused(self, digest: str) -> Case | None:
+    def find_refused(self, digest: str) -> Crashes | None:
         """Find why a request is refused; nothing if it isn't."""
         return self.book.find_refused(digest)
 
@@ -67,11 +67,11 @@
         """Count the requests under which replicas ended, refused or not."""
         return len(self.book)
 
-    def note_end(
+    def record_crash(
         self,
         digest: str,
         life: str,
-        manner: Manner,
+        manner: RequestPhase,
         request: str,
     ) -> None:
         """Note that a replica has ended under a request.
@@ -80,7 +80,7 @@
         :param request: identity of the attempt, for the line.
         """
         now = self.clock.monotonic()
-        if self.book.note_end(digest, life, manner, now):
+        if self.book.record_crash(digest, life, manner, now):
             self.log.record(
                 catalogue.REQUEST_SUSPECTED,
                 request=request,
@@ -90,12 +90,12 @@
             )
             self._tell()
 
-    def note_run(self, digest: str) -> None:
+    def record_run(self, digest: str) -> None:
         """Note that a request has run and its replica is still there."""
-        if self.book.note_run(digest, self.clock.monotonic()):
+        if self.book.record_run(digest, self.clock.monotonic()):
             self._tell()
 
-    def put(self, stored: StoredCase) -> None:
+    def put(self, stored: StoredCrashes) -> None:
         """Take what the store holds of a request."""
         self.book.put(stored, self.clock.monotonic())
         self._tell()
@@ -105,14 +105,14 @@
         self.book.remove(digest, self.clock.monotonic())
         self._tell()
 
-    def replace(self, listed: Iterable[StoredCase]) -> None:
+    def replace(self, listed: Iterable[StoredCrashes]) -> None:
         """Take all that the store holds."""
         self.book.replace(listed, self.clock.monotonic())
         self._tell()
 
-    def judge(self) -> None:
+    def evaluate(self) -> None:
         """Decide anew what is refused, as time has passed."""
-        self.book.judge(self.clock.monotonic())
+        self.book.evaluate(self.clock.monotonic())
         self._record()
 
     def _tell(self) -> None:
@@ -124,12 +124,12 @@
         """Record which requests are refused from now on, and which no more."""
         refused = self.book.refused
         for digest in refused.keys() - self._told:
-            case = refused[digest]
+            crashes = refused[digest]
             self.log.record(
                 catalogue.REQUEST_QUARANTINED,
                 digest=digest,
-                begun=sorted(case.begun),
-                waiting=sorted(case.waiting),
+                begun=sorted(crashes.begun),
+                waiting=sorted(crashes.waiting),
             )
         for digest in self._told - refused.keys():
             self.log.record(catalogue.REQUEST_RELEASED, digest=digest)
@@ -138,7 +138,7 @@
     async def _run(self) -> None:
         pause = _FIRST_PAUSE
         while True:
-            steps = self.book.list_due(self.clock.monotonic())
+            steps = self.book.list_due_writes(self.clock.monotonic())
             if await self._carry_out(steps[:MOST_STEPS]):
                 pause = _FIRST_PAUSE
                 await self._wait()
@@ -148,7 +148,7 @@
                 await asyncio.sleep(pause)
                 pause = min(_LONGEST_PAUSE, pause * 2)
 
-    async def _carry_out(self, steps: list[Step]) -> bool:
+    async def _carry_out(self, steps: list[StoreWrite]) -> bool:
         for step in steps:
             found = await self.store.carry_out(step)
             if not found.answered:
@@ -162,7 +162,7 @@
     async def _wait(self) -> None:
         """Wait for something to tell, without a look at each of its changes."""
         await asyncio.sleep(TICK_SECONDS)
-        if self.book.has_news(self.clock.monotonic()):
+        if self.book.has_pending_writes(self.clock.monotonic()):
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(IDLE_SECONDS):
@@ -176,7 +176,7 @@
         app.find('log', LineLog),
         app.clock,
         app.find('quarantine-store', QuarantineStore),
-        Book(app.chance.random()),
+        CrashTracker(app.random_source.random()),
     )
     app.add(
         Service(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -7,8 +7,8 @@
 from ryelatch_core.quarantine import digest_request
 from ryelatch_core.routing import Route, RoutingTable, choose_service
 from ryelatch_node.ports import RequestTerms
-from ryelatch_node.relay._exchange import Inquiry
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._exchange import AdmittedRequest
+from ryelatch_node.relay._parts import RelayContext
 
 SURE_SECONDS = 2.9
 """Age of the configuration up to which "no such route" is taken as true.
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class StopState:
+class ShutdownState:
     """How far the stop of this node has come.
 
     :param closing: set while this node is to be left by its clients.
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class ReceivedRequest:
     """A request that was read whole.
 
     :param seconds: when its head came, in monotonic seconds.
@@ -80,59 +80,59 @@
 
 
 def admit(
-    parts: Parts, stops: StopState, arrival: Arrival
-) -> Inquiry | Refusal:
+    context: RelayContext, stops: ShutdownState, received: ReceivedRequest
+) -> AdmittedRequest | Refusal:
     """Decide whether a request is served, and by which service."""
-    table = parts.configuration.table
+    table = context.configuration.table
     if table is None:
         return Refusal(_UNAVAILABLE, 'no configuration yet', UNSURE_RETRY)
-    if not parts.replicas.listed:
+    if not context.replicas.listed:
         # Refused as lacking layers, a client would be told to wait for
         # a repair, while the list comes within milliseconds.
         return Refusal(_UNAVAILABLE, 'no registry yet', LIST_RETRY)
     if stops.last_call:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    scope, terms = arrival.scope, arrival.terms
+    scope, terms = received.scope, received.terms
     host = _read_host(scope)
     path = scope['raw_path'].decode('latin-1')
     route = table.find_route(host, path)
     if route is None:
-        return _deny(parts, _NOT_FOUND, 'no such route')
+        return _deny(context, _NOT_FOUND, 'no such route')
     if stops.refuses_streams and route.streaming:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    account = _identify(parts, table, route, terms)
+    account = _identify(context, table, route, terms)
     if isinstance(account, Refusal):
         return account
     method, target = scope['method'], _read_target(scope, path)
-    digest = digest_request(host, method, target, account, arrival.body)
-    case = parts.quarantine.find_refused(digest)
-    if case is not None:
+    digest = digest_request(host, method, target, account, received.body)
+    crashes = context.quarantine.find_refused(digest)
+    if crashes is not None:
         return Refusal(
             _UNAVAILABLE,
             'replicas ended under this request',
             QUARANTINE_RETRY,
             digest,
-            tuple(sorted(case.lives)),
+            tuple(sorted(crashes.incarnations)),
         )
     patience = min(route.timeout, terms.deadline or route.timeout)
-    return Inquiry(
+    return AdmittedRequest(
         method,
         target,
         scope['headers'],
-        arrival.body,
+        received.body,
         terms,
         route,
-        choose_service(route, parts.draw()),
+        choose_service(route, context.draw()),
         account,
-        arrival.seconds,
-        arrival.seconds + patience,
+        received.seconds,
+        received.seconds + patience,
         table.configuration.version,
         digest,
     )
 
 
 def _identify(
-    parts: Parts,
+    context: RelayContext,
     table: RoutingTable,
     route: Route,
     terms: RequestTerms,
@@ -140,17 +140,17 @@
     """Find the name of the client account; empty on anonymous routes."""
     if route.anonymous or not table.configuration.accounts:
         return ''
-    if not parts.configuration.allows_keys():
+    if not context.configuration.allows_keys():
         return Refusal(_UNAVAILABLE, 'keys are unconfirmed', UNSURE_RETRY)
     account = table.find_account(terms.key)
     if account is None:
-        return _deny(parts, _UNAUTHORIZED, 'unknown key')
+        return _deny(context, _UNAUTHORIZED, 'unknown key')
     return account.name
 
 
-def _deny(parts: Parts, status: int, reason: str) -> Refusal:
+def _deny(context: RelayContext, status: int, reason: str) -> Refusal:
     """Deny what no configuration allows, if this node can be sure."""
-    if parts.configuration.age > SURE_SECONDS:
+    if context.configuration.age > SURE_SECONDS:
         return Refusal(_UNAVAILABLE, f'{reason}, unconfirmed', UNSURE_RETRY)
     return Refusal(status, reason)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_beginning.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_beginning.py
@@ -3,9 +3,9 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 
-KNOWN_SECONDS = 0.3
+MAX_WAIT_SECONDS = 0.3
 """Longest wait of a request for the first list after a start.
 
 The calls take 5 ms each, 0.3 s where the store is slowed sixtyfold; where it
@@ -16,14 +16,14 @@
 
 
 @dataclass(eq=False)
-class FirstLists:
+class InitialSync:
     """The first configuration and list of replicas.
 
     They come within milliseconds of the start. Refused before, a client that
     came back when its node was killed has used its one try.
     """
 
-    parts: Parts
+    context: RelayContext
     _known: 'asyncio.Task[None] | None' = field(init=False, default=None)
 
     async def wait(self) -> None:
@@ -32,7 +32,7 @@
             return
         if self._known is None:
             self._known = asyncio.create_task(self._poll())
-        await asyncio.wait((self._known,), timeout=KNOWN_SECONDS)
+        await asyncio.wait((self._known,), timeout=MAX_WAIT_SECONDS)
 
     async def _poll(self) -> None:
         """Look until both have come, once for all requests that wait."""
@@ -41,5 +41,5 @@
         self._known = None
 
     def _are_known(self) -> bool:
-        parts = self.parts
-        return parts.configuration.table is not None and parts.replicas.listed
+        context = self.context
+        return context.configuration.table is not None and context.replicas.listed
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_budget.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_budget.py
@@ -22,7 +22,7 @@
 REFILL_SHARE = 0.3
 """Share of the allowance of a window that comes free over its length."""
 
-UNCOUNTED_NODES = 100
+NODES_BEFORE_COUNT = 100
 """Nodes among which retries are shared until they have been counted.
 
 Taken for eight, each of sixty nodes that had just been killed together had an
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class RetryTerms:
+class RetryAllowance:
     """What all nodes together may retry.
 
     :param ratio: retries allowed for each request.
@@ -47,14 +47,14 @@
     window: float
 
 
-def open_budget(terms: RetryTerms) -> RetryBudget:
+def make_budget(terms: RetryAllowance) -> RetryBudget:
     """Make the budget of one of several nodes that were not counted yet."""
     budget = RetryBudget(terms.ratio * EARNED_SHARE, LEAST_SAVED)
-    share_budget(budget, terms, UNCOUNTED_NODES)
+    resize_budget(budget, terms, NODES_BEFORE_COUNT)
     return budget
 
 
-def share_budget(budget: RetryBudget, terms: RetryTerms, nodes: int) -> None:
+def resize_budget(budget: RetryBudget, terms: RetryAllowance, nodes: int) -> None:
     """Give a budget the slice of one of some nodes."""
     slice_of_window = terms.extra / nodes
     budget.resize(
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
@@ -1,18 +1,18 @@
 """Notes under which requests replicas end."""
 
 from ryelatch_core.fleet import Replica
-from ryelatch_core.quarantine import Manner
+from ryelatch_core.quarantine import RequestPhase
 from ryelatch_node.relay._errors import SendError, SendErrorKind
-from ryelatch_node.relay._exchange import Exchange, Inquiry
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._exchange import Exchange, AdmittedRequest
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 
 SILENT = 'silent'
 """Why a run was given up whose replica said nothing; nothing has ended."""
 
 
-async def note_stream_end(
-    parts: Parts,
+async def record_stream_crash(
+    context: RelayContext,
     stream: LiveStream,
     error: SendError,
 ) -> bool:
@@ -23,14 +23,14 @@
 
     :returns: whether it did just as the stream began there.
     """
-    if not _was_cut(error) or stream.reason not in {'', HEAD_LOST}:
+    if not _was_cut(error) or stream.reason not in {'', FIRST_REPLICA_LOST}:
         return False
-    ran = stream.ran(parts.now())
-    if not await _has_ended(parts, stream.head) or ran:
+    ran = stream.ran(context.now())
+    if not await _has_ended(context, stream.head) or ran:
         return False
-    manner = Manner.BEGUN if stream.answered else Manner.WAITING
-    parts.quarantine.note_end(
-        stream.inquiry.digest,
+    manner = RequestPhase.BEGUN if stream.answered else RequestPhase.WAITING
+    context.quarantine.record_crash(
+        stream.request.digest,
         stream.head.name,
         manner,
         stream.exchange.identity,
@@ -39,9 +39,9 @@
 
 
 async def note_plain_end(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     error: SendError,
 ) -> None:
@@ -49,9 +49,9 @@
 
     Nothing of its answer comes before the whole, so it may have begun.
     """
-    if _was_cut(error) and await _has_ended(parts, replica):
-        parts.quarantine.note_end(
-            inquiry.digest, replica.name, Manner.BEGUN, exchange.identity
+    if _was_cut(error) and await _has_ended(context, replica):
+        context.quarantine.record_crash(
+            request.digest, replica.name, RequestPhase.BEGUN, exchange.identity
         )
 
 
@@ -59,13 +59,13 @@
     return error.kind is SendErrorKind.LOST and error.reason != SILENT
 
 
-async def _has_ended(parts: Parts, replica: Replica) -> bool:
+async def _has_ended(context: RelayContext, replica: Replica) -> bool:
     """Tell whether a replica has ended, and keep away from it if so.
 
     Its entry lapses seconds later. Sent there meanwhile, each request costs
     a retry, and those without one left are refused.
     """
-    if not await parts.ends.has_ended(replica):
+    if not await context.ends.has_crashed(replica):
         return False
-    parts.replicas.suspect(replica, 'ended', full=False)
+    context.replicas.suspect(replica, 'ended', full=False)
     return True
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_errors.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_errors.py
@@ -12,7 +12,7 @@
     LOST = 'lost'
     """It may have run."""
 
-    SPOILED = 'spoiled'
+    INVALID = 'spoiled'
     """Something came that is no answer to it; it may have run."""
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
@@ -25,12 +25,12 @@
 RETRY_SECONDS = 0.3
 """Pause between tries to move a stream; neighbours load for half a second."""
 
-MOST_TRIES = 12
+MAX_TRIES = 12
 """Tries after which a stream stays where it is until it stands still."""
 
 
 @dataclass(eq=False)
-class Evacuation:
+class MigrationPlanner:
     """Watches for replicas that go while streams pass through them.
 
     A replica that leaves ends some seconds later and takes its streams with
@@ -44,11 +44,11 @@
     replicas: ReplicaView
     _since: dict[str, float] = field(default_factory=dict)
 
-    def find_due(self, stream: LiveStream, now: float) -> frozenset[str]:
+    def find_replicas_to_leave(self, stream: LiveStream, now: float) -> frozenset[str]:
         """Name the replicas that a stream should leave now, if any."""
-        if not stream.begun or stream.tries >= MOST_TRIES:
+        if not stream.begun or stream.move_attempts >= MAX_TRIES:
             return frozenset()
-        if now - stream.tried < RETRY_SECONDS:
+        if now - stream.last_move_attempt < RETRY_SECONDS:
             return frozenset()
         due = frozenset(
             stage.replica.name
@@ -56,8 +56,8 @@
             if self._is_due(stage, now)
         )
         if due:
-            stream.tried = now
-            stream.tries += 1
+            stream.last_move_attempt = now
+            stream.move_attempts += 1
         return due
 
     def is_leaving(self, replica: Replica) -> bool:
@@ -69,7 +69,7 @@
         """Tell when a replica that leaves may end at the earliest."""
         since = self.replicas.find_leaving_since(name)
         begun = now if since is None else since
-        return begun + self.replicas.known.terms.bound
+        return begun + self.replicas.freshness.bounds.bound
 
     def _is_due(self, stage: Stage, now: float) -> bool:
         listed = self.replicas.replicas.get(stage.replica.name)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -8,7 +8,7 @@
 
 from ryelatch_core.events import EventKind, LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.routing import Repeat, Route
+from ryelatch_core.routing import RetryPolicy, Route
 from ryelatch_node.ports import Headers, RequestTerms
 from ryelatch_node.relay._errors import ClientGone
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
+class AdmittedRequest:
     """What a client asks for.
 
     :param target: path and query, byte for byte.
@@ -54,7 +54,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether it may run more than once."""
-        return self.route.repeat is not Repeat.NEVER
+        return self.route.retry_policy is not RetryPolicy.NEVER
 
 
 @dataclass(slots=True)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -12,18 +12,18 @@
     ClientLimits,
 )
 from ryelatch_node.relay._admission import (
-    Arrival,
+    ReceivedRequest,
     Refusal,
-    StopState,
+    ShutdownState,
     admit,
 )
-from ryelatch_node.relay._beginning import FirstLists
+from ryelatch_node.relay._beginning import InitialSync
 from ryelatch_node.relay._errors import AnswerBroken, ClientGone
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
+from ryelatch_node.relay._exchange import Exchange, AdmittedRequest, round_seconds
 from ryelatch_node.relay._metrics import RelayMetrics
 from ryelatch_node.relay._model import relay_model
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._plain import relay_plain
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._plain import relay_non_model
 from ryelatch_node.relay._watch import StreamWatch
 
 _REQUEST_TIMEOUT = 408
@@ -44,16 +44,16 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: RelayContext,
         watch: StreamWatch,
         metrics: RelayMetrics,
     ) -> None:
-        self.stops = StopState()
+        self.stops = ShutdownState()
         self.open_requests = 0
-        self._parts = parts
+        self._context = context
         self._watch = watch
         self._metrics = metrics
-        self._first_lists = FirstLists(parts)
+        self._first_lists = InitialSync(context)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -63,7 +63,7 @@
         except Exception:
             # The server answers 500, or cuts what has begun. Without this
             # line nobody would learn why: the library's log is off.
-            self._parts.log.record(
+            self._context.log.record(
                 catalogue.EXCHANGE_CRASHED, trace=traceback.format_exc()
             )
             raise
@@ -71,11 +71,11 @@
             self.open_requests -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        parts = self._parts
-        arrived = parts.clock.monotonic()
-        terms = parts.wire.read_request(scope['headers'])
+        context = self._context
+        arrived = context.clock.monotonic()
+        terms = context.wire.read_request(scope['headers'])
         exchange = Exchange(
-            terms.identity, send, parts.log, parts.clock, self.stops.closing
+            terms.identity, send, context.log, context.clock, self.stops.closing
         )
         try:
             body = await self._read_body(receive)
@@ -90,16 +90,16 @@
             await exchange.refuse(_REQUEST_TIMEOUT, 'the body stands still')
             return
         await self._first_lists.wait()
-        arrival = Arrival(scope, terms, body, arrived)
-        inquiry = admit(parts, self.stops, arrival)
-        if isinstance(inquiry, Refusal):
-            await self._refuse(exchange, inquiry)
+        received = ReceivedRequest(scope, terms, body, arrived)
+        request = admit(context, self.stops, received)
+        if isinstance(request, Refusal):
+            await self._refuse(exchange, request)
             return
-        await self._relay(exchange, inquiry, receive)
-        self._log_end(exchange, inquiry)
+        await self._relay(exchange, request, receive)
+        self._log_end(exchange, request)
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
-        configuration = self._parts.configuration
+        configuration = self._context.configuration
         await exchange.refuse(
             refusal.status,
             refusal.reason,
@@ -111,7 +111,7 @@
         )
 
     async def _read_body(self, receive: Receive) -> bytes:
-        table = self._parts.configuration.table
+        table = self._context.configuration.table
         limits = table.configuration.limits if table else ClientLimits()
         pieces: list[bytes] = []
         size = 0
@@ -130,11 +130,11 @@
     async def _relay(
         self,
         exchange: Exchange,
-        inquiry: Inquiry,
+        request: AdmittedRequest,
         receive: Receive,
     ) -> None:
         """Relay a request while its client is there."""
-        work = asyncio.create_task(self._finish(exchange, inquiry))
+        work = asyncio.create_task(self._finish(exchange, request))
         gone = asyncio.create_task(_wait_gone(receive))
         await asyncio.wait((work, gone), return_when=asyncio.FIRST_COMPLETED)
         if not work.done() and not exchange.ended:
@@ -145,14 +145,14 @@
         with contextlib.suppress(asyncio.CancelledError, ClientGone):
             await work
 
-    async def _finish(self, exchange: Exchange, inquiry: Inquiry) -> None:
+    async def _finish(self, exchange: Exchange, request: AdmittedRequest) -> None:
         """Relay a request up to the end of its time."""
-        self._parts.budget.earn()
+        self._context.budget.earn()
         loop = asyncio.get_running_loop()
-        left = inquiry.ends - self._parts.clock.monotonic()
+        left = request.ends - self._context.clock.monotonic()
         try:
             async with asyncio.timeout_at(loop.time() + left):
-                await self._dispatch(exchange, inquiry)
+                await self._dispatch(exchange, request)
         except TimeoutError:
             if not exchange.started:
                 await self._tell_timeout(exchange)
@@ -169,32 +169,32 @@
                 _UNAVAILABLE, 'the time is over', retry_after=0
             )
 
-    async def _dispatch(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        table = self._parts.configuration.table
-        terms = table and table.configuration.services.get(inquiry.service)
+    async def _dispatch(self, exchange: Exchange, request: AdmittedRequest) -> None:
+        table = self._context.configuration.table
+        terms = table and table.configuration.services.get(request.service)
         if terms and terms.model is not None:
-            await relay_model(self._parts, self._watch, exchange, inquiry)
+            await relay_model(self._context, self._watch, exchange, request)
         else:
-            await relay_plain(self._parts, exchange, inquiry)
+            await relay_non_model(self._context, exchange, request)
 
-    def _log_end(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        seconds = self._parts.clock.monotonic() - inquiry.arrived
+    def _log_end(self, exchange: Exchange, request: AdmittedRequest) -> None:
+        seconds = self._context.clock.monotonic() - request.arrived
         if exchange.left:
             kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
         elif exchange.ended:
             kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
             kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
-        self._metrics.note(inquiry.route.streaming, outcome, seconds)
+        self._metrics.note(request.route.streaming, outcome, seconds)
         exchange.record(
             kind,
-            route=inquiry.route.name,
-            account=inquiry.account,
+            route=request.route.name,
+            account=request.account,
             status=exchange.status,
             seconds=round_seconds(seconds),
             sends=exchange.sends,
             pause=round_seconds(exchange.pause),
-            version=inquiry.version,
+            version=request.version,
             **exchange.detail,
         )
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ryelatch_core.events import CostBook, LineLog
+from ryelatch_core.events import UsageTracker, LineLog
 
 _LOWEST_MS = 1
 _HIGHEST_MS = 60_000
@@ -25,11 +25,11 @@
         self,
         log: LineLog,
         gauges: Mapping[str, Callable[[], float]],
-        costs: CostBook | None = None,
+        costs: UsageTracker | None = None,
     ) -> None:
         self._log = log
         self._gauges = gauges
-        self._costs = costs or CostBook()
+        self._costs = costs or UsageTracker()
         self._outcomes: Counter[tuple[str, str]] = Counter()
         self._times: dict[str, HdrHistogram] = {}
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -5,29 +5,29 @@
 
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Stage
-from ryelatch_core.quarantine import MOST_ENDS
-from ryelatch_core.streams import EventCutter, StreamError
+from ryelatch_core.quarantine import CRASH_THRESHOLD
+from ryelatch_core.streams import EventSplitter, StreamError
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._choice import (
     choose_request_path,
-    list_heads,
+    list_first_replicas,
     misses_layers,
 )
-from ryelatch_node.relay._ends import note_stream_end
+from ryelatch_node.relay._ends import record_stream_crash
 from ryelatch_node.relay._errors import (
     AnswerBroken,
     SendError,
     SendErrorKind,
 )
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._permits import find_return, take_permit
+from ryelatch_node.relay._exchange import Exchange, AdmittedRequest, round_seconds
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._permits import find_retry_after, acquire_permit
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
     Progress,
     note_failure,
     note_outcome,
-    note_progress,
+    record_progress,
     note_refusal,
 )
 from ryelatch_node.relay._stream import LiveStream
@@ -61,100 +61,100 @@
 
 
 async def relay_model(
-    parts: Parts,
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
     """Send a request on a path, and on others until its answer is whole.
 
     :raises AnswerBroken: if it ends in the middle for good.
     """
-    progress = Progress(EventCutter(inquiry.terms.last_event))
-    while _may_send(parts, exchange, inquiry, progress):
-        path = await _find_path(parts, exchange, inquiry, progress)
+    progress = Progress(EventSplitter(request.terms.last_event))
+    while _may_send(context, exchange, request, progress):
+        path = await _find_path(context, exchange, request, progress)
         if not path:
             break
-        step = await _try_path(parts, watch, exchange, inquiry, path, progress)
+        step = await _try_path(context, watch, exchange, request, path, progress)
         if step is _Next.DONE:
             return
-    await _give_up(parts, exchange, inquiry, progress)
+    await _give_up(context, exchange, request, progress)
 
 
 async def _find_path(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
     """Choose a path whose first replica takes one more request."""
     while True:
-        path = choose_request_path(parts, exchange, inquiry, progress)
-        if not path or await take_permit(parts, exchange, path[0].replica):
+        path = choose_request_path(context, exchange, request, progress)
+        if not path or await acquire_permit(context, exchange, path[0].replica):
             return path
 
 
 def _may_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> bool:
     if not exchange.sends:
         return True
     if exchange.sends >= MOST_SENDS:
         return False
-    if exchange.ran >= inquiry.route.max_attempts:
+    if exchange.ran >= request.route.max_attempts:
         return False
-    if progress.lost and not inquiry.repeatable:
+    if progress.lost and not request.repeatable:
         return False
-    if progress.ends >= MOST_ENDS:
+    if progress.ends >= CRASH_THRESHOLD:
         return False
-    if parts.quarantine.find_refused(inquiry.digest):
+    if context.quarantine.find_refused(request.digest):
         return False
-    return parts.budget.spend()
+    return context.budget.spend()
 
 
 async def _try_path(
-    parts: Parts,
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> _Next:
-    tokens = inquiry.terms.prompt + inquiry.terms.answer // 2
+    tokens = request.terms.prompt + request.terms.answer // 2
     exchange.sends += 1
-    _log_send(parts, exchange, inquiry, path, progress)
+    _log_send(context, exchange, request, path, progress)
     scope = asyncio.timeout(None)
-    now = parts.clock.monotonic()
-    stream = LiveStream(exchange, inquiry, path, now, now, tokens, scope)
-    parts.load.add(path, tokens, now)
-    parts.windows.add(stream.head.name)
-    parts.accounts.add(inquiry.account)
-    parts.returns.note_start(now)
+    now = context.clock.monotonic()
+    stream = LiveStream(exchange, request, path, now, now, tokens, scope)
+    context.load.add(path, tokens, now)
+    context.windows.add(stream.head.name)
+    context.accounts.add(request.account)
+    context.returns.record_start(now)
     watch.streams.add(stream)
     try:
         async with scope:
-            return await _run(parts, watch.prober, stream, progress)
+            return await _run(context, watch.prober, stream, progress)
     except TimeoutError:
         interrupted = SendError(SendErrorKind.LOST, stream.reason)
-        await _note_lost(parts, stream, progress, interrupted)
+        await _note_lost(context, stream, progress, interrupted)
     except SendError as error:
-        await _note_lost(parts, stream, progress, error)
+        await _note_lost(context, stream, progress, error)
     except StreamError as error:
-        note_failure(parts, stream, progress, SendErrorKind.SPOILED, str(error))
+        note_failure(context, stream, progress, SendErrorKind.INVALID, str(error))
     finally:
-        stream.over = True
+        stream.finished = True
         watch.streams.discard(stream)
-        parts.windows.remove(stream.head.name)
-        parts.accounts.remove(inquiry.account)
-        parts.load.remove(stream.path, tokens, parts.clock.monotonic())
+        context.windows.remove(stream.head.name)
+        context.accounts.remove(request.account)
+        context.load.remove(stream.path, tokens, context.clock.monotonic())
     return _Next.AGAIN
 
 
 async def _note_lost(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     progress: Progress,
     error: SendError,
@@ -164,16 +164,16 @@
     A run that had just begun as its replica ended counts among the attempts:
     it may be why, and each attempt takes another replica along.
     """
-    note_failure(parts, stream, progress, error.kind, error.reason)
-    if await note_stream_end(parts, stream, error):
+    note_failure(context, stream, progress, error.kind, error.reason)
+    if await record_stream_crash(context, stream, error):
         progress.ends += 1
         stream.exchange.ran += stream.answered
 
 
 def _log_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> None:
@@ -186,63 +186,63 @@
             [stage.replica.name, stage.layers.first, stage.layers.end]
             for stage in path
         ],
-        service=inquiry.service,
-        digest=inquiry.digest,
+        service=request.service,
+        digest=request.digest,
         attempt=exchange.sends,
-        left=round_seconds(inquiry.ends - parts.clock.monotonic()),
-        version=inquiry.version,
-        last_event=progress.cutter.last,
-        avoided=len(parts.replicas.list_suspects()),
-        list_age=round_seconds(parts.replicas.known.age),
+        left=round_seconds(request.ends - context.clock.monotonic()),
+        version=request.version,
+        last_event=progress.splitter.last,
+        avoided=len(context.replicas.list_suspects()),
+        list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(
-            parts.replicas.find_missing(one.replica.name for one in path)
+            context.replicas.find_missing(one.replica.name for one in path)
         ),
     )
 
 
 async def _run(
-    parts: Parts,
+    context: RelayContext,
     prober: Prober,
     stream: LiveStream,
     progress: Progress,
 ) -> _Next:
-    inquiry = stream.inquiry
+    request = stream.request
     dispatch = Dispatch(
         stream.head.entry,
-        inquiry.ends - parts.clock.monotonic(),
-        inquiry.account,
+        request.ends - context.clock.monotonic(),
+        request.account,
         stream.path,
-        progress.cutter.last,
+        progress.splitter.last,
     )
-    async with parts.upstreams.send(
+    async with context.upstreams.send(
         stream.head,
-        inquiry.method,
-        inquiry.target,
-        parts.wire.write_request(inquiry.headers, dispatch),
-        inquiry.body,
-        identity=inquiry.terms.identity,
-        repeatable=inquiry.repeatable,
+        request.method,
+        request.target,
+        context.wire.write_request(request.headers, dispatch),
+        request.body,
+        identity=request.terms.identity,
+        repeatable=request.repeatable,
     ) as answer:
         stream.answered = True
         if answer.terms.not_run:
-            note_refusal(parts, prober, stream, answer)
+            note_refusal(context, prober, stream, answer)
             return _Next.AGAIN
         if not answer.terms.signed:
-            raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
+            raise SendError(SendErrorKind.INVALID, 'unsigned answer')
         if answer.status != _OK:
-            return await _take_failure(parts, stream, answer, progress)
-        return await _pass_events(parts, stream, answer, progress)
+            return await _take_failure(context, stream, answer, progress)
+        return await _pass_events(context, stream, answer, progress)
 
 
 async def _take_failure(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
 ) -> _Next:
     """Keep a replica's own failure, or pass it on where nothing follows."""
     body = await answer.read()
-    parts.quarantine.note_run(stream.inquiry.digest)
+    context.quarantine.record_run(stream.request.digest)
     stream.exchange.ran += 1
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
@@ -251,11 +251,11 @@
         outcome='failed',
     )
     failed = answer.status >= _SERVER_ERROR
-    note_outcome(parts, stream, failed=failed)
-    if failed and stream.inquiry.repeatable:
+    note_outcome(context, stream, failed=failed)
+    if failed and stream.request.repeatable:
         # Failing at once it has room and looks fast; the next try would go
         # there again.
-        progress.left.add(stream.head.name)
+        progress.excluded.add(stream.head.name)
         progress.held = (answer, body)
         return _Next.AGAIN
     if stream.exchange.started:
@@ -265,30 +265,30 @@
 
 
 async def _pass_events(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
 ) -> _Next:
-    cutter = progress.cutter
-    cutter.restart()
+    splitter = progress.splitter
+    splitter.discard_partial()
     exchange = stream.exchange
     async for piece in answer.iterate():
-        events = cutter.cut(piece)
+        events = splitter.feed(piece)
         if not events:
             continue
-        note_progress(parts, stream)
+        record_progress(context, stream)
         if not exchange.started:
             await exchange.start(answer.status, _strip_length(answer))
         await exchange.write(events)
-    if cutter.torn:
+    if splitter.has_partial:
         raise SendError(SendErrorKind.LOST, 'ended in the middle of an event')
     if not exchange.started:
         await exchange.start(answer.status, _strip_length(answer))
     await exchange.write(b'', more=False)
-    parts.replicas.trust(stream.head)
-    parts.quarantine.note_run(stream.inquiry.digest)
-    note_outcome(parts, stream, failed=False)
+    context.replicas.clear_suspicion(stream.head)
+    context.quarantine.record_run(stream.request.digest)
+    note_outcome(context, stream, failed=False)
     return _Next.DONE
 
 
@@ -298,9 +298,9 @@
 
 
 async def _give_up(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> None:
     if exchange.started:
@@ -311,28 +311,28 @@
     elif progress.lost:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost')
     else:
-        await _refuse(parts, exchange, inquiry)
+        await _refuse(context, exchange, request)
 
 
 async def _refuse(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
     """Tell a client that its request did not run, and when to come back."""
-    missing = misses_layers(parts, inquiry)
-    wait = REPAIR_SECONDS if missing else _find_turn(parts, inquiry)
+    missing = misses_layers(context, request)
+    wait = REPAIR_SECONDS if missing else _find_turn(context, request)
     await exchange.refuse(
         _UNAVAILABLE,
         'layers are missing' if missing else 'all paths are full',
         retry_after=wait,
-        open=len(parts.windows.requests),
-        full=len(parts.windows.list_closed()),
+        open=len(context.windows.requests),
+        full=len(context.windows.list_closed()),
     )
 
 
-def _find_turn(parts: Parts, inquiry: Inquiry) -> float:
+def _find_turn(context: RelayContext, request: AdmittedRequest) -> float:
     """Tell a refused client when a place for it is expected."""
-    now = parts.clock.monotonic()
-    turn = parts.returns.give_turn(now, inquiry.ends - now, parts.draw())
-    return max(turn, find_return(parts, list_heads(parts, inquiry)))
+    now = context.clock.monotonic()
+    turn = context.returns.assign_delay(now, request.ends - now, context.draw())
+    return max(turn, find_retry_after(context, list_first_replicas(context, request)))
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
@@ -6,9 +6,9 @@
 from ryelatch_core.fleet import Stage, choose_path
 from ryelatch_node.ports import MoveAnswer, OrderResult
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._query import make_query
+from ryelatch_node.relay._query import make_path_query
 from ryelatch_node.relay._stream import LiveStream
 
 MOVE_TRIES = 3
@@ -19,10 +19,10 @@
 
 
 @dataclass(frozen=True)
-class Mover:
+class StreamMigrator:
     """Orders the first replica of a stream to use another path."""
 
-    parts: Parts
+    context: RelayContext
     prober: Prober
 
     async def move(
@@ -57,11 +57,11 @@
         path: tuple[Stage, ...],
         lost: frozenset[str],
     ) -> MoveAnswer:
-        identity = stream.inquiry.terms.identity
-        pause = self.parts.clock.monotonic() - stream.progress
-        if not await self.parts.throttle.take(stream.head):
+        identity = stream.request.terms.identity
+        pause = self.context.clock.monotonic() - stream.progress
+        if not await self.context.throttle.acquire_permit(stream.head):
             return MoveAnswer(OrderResult.REFUSED)
-        moved = await self.parts.orders.move(stream.head, identity, path)
+        moved = await self.context.orders.move(stream.head, identity, path)
         stream.exchange.record(
             catalogue.STREAM_MOVED,
             avoiding=sorted(lost),
@@ -70,9 +70,9 @@
             pause=round_seconds(pause),
         )
         if moved.result in {OrderResult.BEGUN, OrderResult.HELD}:
-            now = self.parts.clock.monotonic()
-            self.parts.load.remove(stream.path, stream.tokens, now)
-            self.parts.load.add(path, stream.tokens, now)
+            now = self.context.clock.monotonic()
+            self.context.load.remove(stream.path, stream.tokens, now)
+            self.context.load.add(path, stream.tokens, now)
             stream.path = path
             stream.progress = now
         return moved
@@ -87,7 +87,7 @@
         for stage in path:
             replica = stage.replica
             if replica.address == address and replica != stream.head:
-                self.parts.replicas.suspect(replica, 'no room', full=True)
+                self.context.replicas.suspect(replica, 'no room', full=True)
                 self.prober.check(replica)
 
     def _replan(
@@ -97,21 +97,21 @@
         *,
         crosses: bool,
     ) -> tuple[Stage, ...]:
-        inquiry = stream.inquiry
-        query = make_query(
-            self.parts, inquiry, lost | self.parts.replicas.list_suspects()
+        request = stream.request
+        query = make_path_query(
+            self.context, request, lost | self.context.replicas.list_suspects()
         )
         if query is None:
             return ()
-        kept = frozenset(stage.replica.name for stage in stream.path)
+        prefilled = frozenset(stage.replica.name for stage in stream.path)
         fixed = replace(
-            query, head=stream.path[0], kept=kept - lost, crosses=crosses
+            query, head=stream.path[0], prefilled=prefilled - lost, crosses=crosses
         )
         # The first replica runs its part on, also while it leaves or gives
         # up those layers; the registry says that it offers them no more.
         offered = [
             one
-            for one in self.parts.replicas.list_service(inquiry.service)
+            for one in self.context.replicas.list_service(request.service)
             if one.name != stream.head.name
         ]
         return choose_path([*offered, stream.head], fixed)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_paces.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_paces.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import LineLog, catalogue
-from ryelatch_core.fleet import PaceBook, Replica, Stage
+from ryelatch_core.fleet import StepFactorTracker, Replica, Stage
 from ryelatch_core.kernel import Clock
 from ryelatch_node.ports import Orders
 from ryelatch_node.tasks import Tasks
@@ -28,7 +28,7 @@
     clock: Clock
     orders: Orders
     is_throttled: Callable[[str], bool] = lambda _: False
-    book: PaceBook = field(default_factory=PaceBook)
+    book: StepFactorTracker = field(default_factory=StepFactorTracker)
     _asked: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -8,9 +8,9 @@
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._ends import SILENT, note_plain_end
 from ryelatch_node.relay._errors import SendError, SendErrorKind
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._permits import find_return, take_permit
+from ryelatch_node.relay._exchange import Exchange, AdmittedRequest, round_seconds
+from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._permits import find_retry_after, acquire_permit
 from ryelatch_node.relay._upstream import Answer
 
 FIRST_SHARE = 0.5
@@ -51,47 +51,47 @@
     lost: bool = False
 
 
-async def relay_plain(
-    parts: Parts, exchange: Exchange, inquiry: Inquiry
+async def relay_non_model(
+    context: RelayContext, exchange: Exchange, request: AdmittedRequest
 ) -> None:
     """Send a request to a replica and pass its answer back."""
     tries = _Tries()
     while True:
-        replica = await _find_replica(parts, exchange, inquiry, tries)
-        if replica is None or not _may_send(parts, exchange, inquiry):
+        replica = await _find_replica(context, exchange, request, tries)
+        if replica is None or not _may_send(context, exchange, request):
             break
         tries.names.add(replica.name)
-        await _try_once(parts, exchange, inquiry, replica, tries)
-        if _is_final(tries, repeatable=inquiry.repeatable):
+        await _try_once(context, exchange, request, replica, tries)
+        if _is_final(tries, repeatable=request.repeatable):
             break
-    await _finish(parts, exchange, inquiry, tries)
+    await _finish(context, exchange, request, tries)
 
 
 async def _find_replica(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     tries: _Tries,
 ) -> Replica | None:
     """Choose a replica that takes one more request."""
     while True:
-        replica = _choose(parts, inquiry, tries.names)
-        if replica is None or await take_permit(parts, exchange, replica):
+        replica = _choose(context, request, tries.names)
+        if replica is None or await acquire_permit(context, exchange, replica):
             return replica
 
 
 async def _try_once(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     tries: _Tries,
 ) -> None:
     try:
-        held = await _try_replica(parts, exchange, inquiry, replica)
+        held = await _try_replica(context, exchange, request, replica)
     except SendError as error:
-        _note_failure(parts, exchange, replica, error)
-        await note_plain_end(parts, exchange, inquiry, replica, error)
+        _note_failure(context, exchange, replica, error)
+        await note_plain_end(context, exchange, request, replica, error)
         tries.lost = tries.lost or error.kind is not SendErrorKind.UNSENT
         return
     tries.held = held or tries.held
@@ -105,9 +105,9 @@
 
 
 async def _finish(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     tries: _Tries,
 ) -> None:
     tried = len(tries.names)
@@ -117,56 +117,56 @@
     elif tries.lost:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost', tried=tried)
     else:
-        offered = parts.replicas.list_service(inquiry.service)
+        offered = context.replicas.list_service(request.service)
         await exchange.refuse(
             _UNAVAILABLE,
             'no upstream has room',
-            retry_after=max(RETRY_SECONDS, find_return(parts, offered)),
+            retry_after=max(RETRY_SECONDS, find_retry_after(context, offered)),
             tried=tried,
         )
 
 
 def _choose(
-    parts: Parts,
-    inquiry: Inquiry,
+    context: RelayContext,
+    request: AdmittedRequest,
     tried: set[str],
 ) -> Replica | None:
     """Choose the replica with the fewest requests of this node."""
-    offered = parts.replicas.list_service(inquiry.service)
-    avoided = parts.replicas.list_suspects()
-    ruled_out = tried | parts.throttle.list_closed()
+    offered = context.replicas.list_service(request.service)
+    avoided = context.replicas.list_suspects()
+    ruled_out = tried | context.throttle.list_closed()
     fresh = [one for one in offered if one.name not in ruled_out]
     trusted = [one for one in fresh if one.name not in avoided]
-    now = parts.now()
-    failing = parts.failures.list_failing(now)
+    now = context.now()
+    failing = context.failures.list_failing(now)
     sound = [one for one in trusted if one.name not in failing]
-    loads = parts.load.requests
+    loads = context.load.requests
     return min(
         sound or trusted or fresh,
         key=lambda one: (
             loads[one.name] / one.slots,
-            parts.durations.rank(one.name, now),
-            one.zone != parts.startup.zone,
-            parts.draw(),
+            context.durations.rank(one.name, now),
+            one.zone != context.startup.zone,
+            context.draw(),
         ),
         default=None,
     )
 
 
-def _may_send(parts: Parts, exchange: Exchange, inquiry: Inquiry) -> bool:
-    if exchange.ran >= inquiry.route.max_attempts:
+def _may_send(context: RelayContext, exchange: Exchange, request: AdmittedRequest) -> bool:
+    if exchange.ran >= request.route.max_attempts:
         return False
-    if parts.quarantine.find_refused(inquiry.digest):
+    if context.quarantine.find_refused(request.digest):
         return False
     if not exchange.sends:
         return True
-    return parts.clock.monotonic() < inquiry.ends and parts.budget.spend()
+    return context.clock.monotonic() < request.ends and context.budget.spend()
 
 
 async def _try_replica(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
 ) -> _Held | None:
     """Try one replica.
@@ -174,29 +174,29 @@
     :returns: its answer; nothing if it says that it did not run it.
     :raises SendError: if no usable answer came.
     """
-    now = parts.clock.monotonic()
-    left = inquiry.ends - now
-    dispatch = Dispatch(replica.entry, left, inquiry.account)
+    now = context.clock.monotonic()
+    left = request.ends - now
+    dispatch = Dispatch(replica.entry, left, request.account)
     exchange.sends += 1
     exchange.record(
         catalogue.EXCHANGE_SENT,
         replica=replica.name,
-        service=inquiry.service,
-        digest=inquiry.digest,
+        service=request.service,
+        digest=request.digest,
         attempt=exchange.sends,
         left=round_seconds(left),
-        version=inquiry.version,
-        load=parts.load.requests[replica.name],
-        list_age=round_seconds(parts.replicas.known.age),
-        missing=round_seconds(parts.replicas.find_missing((replica.name,))),
+        version=request.version,
+        load=context.load.requests[replica.name],
+        list_age=round_seconds(context.replicas.freshness.age),
+        missing=round_seconds(context.replicas.find_missing((replica.name,))),
     )
     last = (
-        not inquiry.repeatable or exchange.sends >= inquiry.route.max_attempts
+        not request.repeatable or exchange.sends >= request.route.max_attempts
     )
-    parts.load.requests[replica.name] += 1
+    context.load.requests[replica.name] += 1
     try:
         async with asyncio.timeout(left if last else left * FIRST_SHARE):
-            return await _ask(parts, exchange, inquiry, replica, dispatch)
+            return await _ask(context, exchange, request, replica, dispatch)
     except TimeoutError as error:
         exchange.ran += 1
         raise SendError(SendErrorKind.LOST, SILENT) from error
@@ -204,31 +204,31 @@
         exchange.ran += error.kind is not SendErrorKind.UNSENT
         raise
     finally:
-        parts.load.requests[replica.name] -= 1
-        ended = parts.now()
-        parts.durations.note(replica.name, ended - now, ended)
+        context.load.requests[replica.name] -= 1
+        ended = context.now()
+        context.durations.record(replica.name, ended - now, ended)
 
 
 async def _ask(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     replica: Replica,
     dispatch: Dispatch,
 ) -> _Held | None:
-    async with parts.upstreams.send(
+    async with context.upstreams.send(
         replica,
-        inquiry.method,
-        inquiry.target,
-        parts.wire.write_request(inquiry.headers, dispatch),
-        inquiry.body or None,
-        identity=inquiry.terms.identity,
-        repeatable=inquiry.repeatable,
+        request.method,
+        request.target,
+        context.wire.write_request(request.headers, dispatch),
+        request.body or None,
+        identity=request.terms.identity,
+        repeatable=request.repeatable,
     ) as answer:
         if answer.terms.not_run:
-            parts.replicas.suspect(replica, 'refused', full=True)
+            context.replicas.suspect(replica, 'refused', full=True)
             if answer.terms.entry not in {'', replica.entry}:
-                parts.replicas.end(replica)
+                context.replicas.end(replica)
             exchange.record(
                 catalogue.EXCHANGE_FAILED,
                 replica=replica.name,
@@ -238,23 +238,23 @@
             return None
         body = await answer.read()
         if not answer.terms.signed:
-            raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
+            raise SendError(SendErrorKind.INVALID, 'unsigned answer')
     exchange.ran += 1
-    parts.quarantine.note_run(inquiry.digest)
+    context.quarantine.record_run(request.digest)
     failed = answer.status >= _SERVER_ERROR
-    parts.failures.note(
+    context.failures.record(
         replica.name,
-        inquiry.route.name,
-        parts.clock.monotonic(),
+        request.route.name,
+        context.clock.monotonic(),
         failed=failed,
     )
     if not failed:
-        parts.replicas.trust(replica)
+        context.replicas.clear_suspicion(replica)
     return _Held(answer, body)
 
 
 def _note_failure(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
     replica: Replica,
     error: SendError,
@@ -266,6 +266,6 @@
         outcome=error.kind.value,
     )
     if error.kind is SendErrorKind.UNSENT:
-        parts.replicas.suspect(replica, error.reason, full=False)
+        context.replicas.suspect(replica, error.reason, full=False)
     elif error.reason == SILENT:
-        parts.replicas.suspect(replica, error.reason, full=True)
+        context.replicas.suspect(replica, error.reason, full=True)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Report
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.tasks import Tasks
 
 PROBE_SECONDS = 0.4
@@ -36,13 +36,13 @@
     then. A report tells in milliseconds which it is.
     """
 
-    parts: Parts
+    context: RelayContext
     _asked: dict[str, float] = field(default_factory=dict)
     _tasks: Tasks = field(init=False)
 
     def __post_init__(self) -> None:
         """Make what runs the questions."""
-        self._tasks = Tasks(self.parts.log, 'probe')
+        self._tasks = Tasks(self.context.log, 'probe')
 
     async def stop(self) -> None:
         """Ask no more."""
@@ -53,9 +53,9 @@
 
         One that takes little or nothing now says so itself.
         """
-        if self.parts.throttle.is_throttled(replica.name):
+        if self.context.throttle.is_throttled(replica.name):
             return
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         if now - self._asked.get(replica.name, float('-inf')) < REST_SECONDS:
             return
         self._asked[replica.name] = now
@@ -65,12 +65,12 @@
         for _ in range(TRIES):
             if await self._answers(replica):
                 return
-        self.parts.replicas.suspect(replica, 'no report', full=False)
+        self.context.replicas.suspect(replica, 'no report', full=False)
 
     async def _answers(self, replica: Replica) -> bool:
         try:
             async with asyncio.timeout(PROBE_SECONDS):
-                report = await self.parts.orders.read_report(replica)
+                report = await self.context.orders.read_report(replica)
         except TimeoutError:
             return False
         if report is None:
@@ -87,4 +87,4 @@
         """
         if report.holding is not None and not report.busy:
             held = report.holding
-            self.parts.replicas.learn(replica, held.layers, held.born)
+            self.context.replicas.apply_report(replica, held.layers, held.born)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import catalogue
-from ryelatch_core.fleet import LATE_SHARE, Replica
-from ryelatch_core.streams import EventCutter
+from ryelatch_core.fleet import LATE_FRACTION, Replica
+from ryelatch_core.streams import EventSplitter
 from ryelatch_node.relay._errors import SendErrorKind
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.relay._upstream import Answer
 
 _FULL = 503
@@ -23,19 +23,19 @@
 
     :param lost: whether one of them may have run without an answer.
     :param held: a replica's own failure, passed on if nothing better comes.
-    :param left: first replicas whose runs this node cut off.
+    :param excluded: first replicas whose runs this node cut off.
     :param ends: first replicas that ended just as it began at them.
     """
 
-    cutter: EventCutter
-    left: set[str] = field(default_factory=set)
+    splitter: EventSplitter
+    excluded: set[str] = field(default_factory=set)
     lost: bool = False
     ends: int = 0
     held: tuple[Answer, bytes] | None = None
 
 
 def note_refusal(
-    parts: Parts,
+    context: RelayContext,
     prober: Prober,
     stream: LiveStream,
     answer: Answer,
@@ -45,18 +45,18 @@
     A refusal that took long comes from a path that waited for a lost
     replica; one that came at once, from one without room.
     """
-    waited = parts.clock.monotonic() - stream.progress
-    stalled = waited > parts.startup.stall_seconds * _STALL_SHARE
-    fault = _find_fault(parts, stream, answer.terms.fault)
+    waited = context.clock.monotonic() - stream.progress
+    stalled = waited > context.startup.stall_seconds * _STALL_SHARE
+    fault = _find_fault(context, stream, answer.terms.fault)
     reason = f'answered {answer.status}'
     if answer.status == _FULL and fault.name == stream.head.name:
-        parts.windows.note_full(fault.name, parts.clock.monotonic())
+        context.windows.record_refusal(fault.name, context.clock.monotonic())
     if answer.terms.entry in {'', stream.head.entry}:
-        parts.replicas.suspect(fault, reason, full=not stalled)
+        context.replicas.suspect(fault, reason, full=not stalled)
         prober.check(fault)
     else:
         # Another replica has the address now; asking it tells nothing.
-        parts.replicas.end(stream.head)
+        context.replicas.end(stream.head)
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
         replica=fault.name,
@@ -66,7 +66,7 @@
     )
 
 
-def _find_fault(parts: Parts, stream: LiveStream, address: str) -> Replica:
+def _find_fault(context: RelayContext, stream: LiveStream, address: str) -> Replica:
     named = (
         stage.replica
         for stage in stream.path
@@ -75,48 +75,48 @@
     return next(named, stream.head)
 
 
-def note_outcome(parts: Parts, stream: LiveStream, *, failed: bool) -> None:
+def note_outcome(context: RelayContext, stream: LiveStream, *, failed: bool) -> None:
     """Note whether a first replica failed a request that it ran."""
-    parts.failures.note(
+    context.failures.record(
         stream.head.name,
-        stream.inquiry.route.name,
-        parts.clock.monotonic(),
+        stream.request.route.name,
+        context.clock.monotonic(),
         failed=failed,
     )
 
 
-def note_progress(parts: Parts, stream: LiveStream) -> None:
+def record_progress(context: RelayContext, stream: LiveStream) -> None:
     """Note that an event has come."""
-    stream.progress = parts.clock.monotonic()
+    stream.progress = context.clock.monotonic()
     stream.delivered += 1
     stream.told = False
     if not stream.cleared and stream.ran(stream.progress):
         stream.cleared = True
-        parts.quarantine.note_run(stream.inquiry.digest)
+        context.quarantine.record_run(stream.request.digest)
     if not stream.begun:
         stream.begun = True
         stream.first_event = stream.progress
         stream.exchange.ran += 1
         taken = stream.progress - stream.sent
-        parts.load.note_first(stream.path, taken, stream.progress)
-        if taken > stream.inquiry.route.objective * LATE_SHARE:
-            parts.paces.check(stream.path)
-        if not stream.hindered:
+        context.load.record_first_event(stream.path, taken, stream.progress)
+        if taken > stream.request.route.objective * LATE_FRACTION:
+            context.paces.check(stream.path)
+        if not stream.delayed_by_loss:
             # A first event that waited for a lost replica tells nothing of
             # how full the first one is.
-            parts.windows.note_first(
+            context.windows.record_first_event(
                 stream.head.name,
                 taken,
-                stream.inquiry.route.objective,
+                stream.request.route.objective,
                 stream.progress,
             )
         stream.exchange.detail.setdefault(
-            'first', round_seconds(stream.progress - stream.inquiry.arrived)
+            'first', round_seconds(stream.progress - stream.request.arrived)
         )
 
 
 def note_failure(
-    parts: Parts,
+    context: RelayContext,
     stream: LiveStream,
     progress: Progress,
     kind: SendErrorKind,
@@ -126,7 +126,7 @@
     if kind is not SendErrorKind.UNSENT:
         progress.lost = True
     if stream.reason:
-        progress.left.add(stream.head.name)
+        progress.excluded.add(stream.head.name)
     if kind is SendErrorKind.LOST:
         stream.exchange.ran += _count_end(stream)
     stream.exchange.record(
@@ -136,10 +136,10 @@
         outcome=kind.value,
         answered=stream.answered,
         events=stream.delivered,
-        last_event=progress.cutter.last,
+        last_event=progress.splitter.last,
     )
-    if kind is not SendErrorKind.SPOILED and reason != 'silent':
-        parts.replicas.suspect(
+    if kind is not SendErrorKind.INVALID and reason != 'silent':
+        context.replicas.suspect(
             stream.head, reason, full=kind is not SendErrorKind.UNSENT
         )
 
@@ -151,6 +151,6 @@
     cut off does, and may have begun though nothing of it came: seven streams
     ran on three first replicas where two were allowed.
     """
-    if stream.reason in {'', HEAD_LOST}:
+    if stream.reason in {'', FIRST_REPLICA_LOST}:
         return -1 if stream.begun else 0
     return 0 if stream.begun else 1
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(eq=False)
-class EndChecks:
+class CrashChecks:
     """Tries to reach replicas whose connections were lost.
 
     All requests that were lost with a replica share one try; ninety of them
@@ -22,7 +22,7 @@
     orders: Orders
     _checks: dict[str, 'asyncio.Future[Reach]'] = field(default_factory=dict)
 
-    async def has_ended(self, replica: Replica) -> bool:
+    async def has_crashed(self, replica: Replica) -> bool:
         """Tell whether nothing listens at a replica's address any more."""
         check = self._checks.get(replica.name)
         if check is None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -14,18 +14,18 @@
 from starlette.types import Receive, Scope, Send
 
 from ryelatch_core.events import catalogue
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_core.routing import ClientLimits
 from ryelatch_node.listener import BACKLOG, bind_listener
 from ryelatch_node.ports import Address, SettingsChanged
 from ryelatch_node.relay._budget import (
-    UNCOUNTED_NODES,
-    RetryTerms,
-    share_budget,
+    NODES_BEFORE_COUNT,
+    RetryAllowance,
+    resize_budget,
 )
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
@@ -63,23 +63,23 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: RelayContext,
         ingress: Ingress,
         metrics: RelayMetrics,
         listener: socket.socket | None = None,
     ) -> None:
         self._listener = listener
-        self._parts = parts
+        self._context = context
         self._ingress = ingress
         self._counted = metrics
         self._server: uvicorn.Server | None = None
         self._config: uvicorn.Config | None = None
-        self._nodes = UNCOUNTED_NODES
+        self._nodes = NODES_BEFORE_COUNT
         self._sockets: list[socket.socket] = []
         # Where it listens; the system chooses for a port of 0.
-        self.front = parts.startup.front
-        self.readiness = parts.startup.readiness
-        self.metrics = parts.startup.metrics
+        self.front = context.startup.front
+        self.readiness = context.startup.readiness
+        self.metrics = context.startup.metrics
         self._inner = Starlette(
             routes=[
                 Route('/readyz', self._tell_ready),
@@ -90,10 +90,10 @@
     @property
     def ready(self) -> bool:
         """Whether new clients should be sent here."""
-        parts = self._parts
-        if self._ingress.stops.closing or parts.configuration.table is None:
+        context = self._context
+        if self._ingress.stops.closing or context.configuration.table is None:
             return False
-        return parts.replicas.listed and parts.configuration.allows_keys()
+        return context.replicas.listed and context.configuration.allows_keys()
 
     async def start(self) -> None:
         """Listen."""
@@ -110,7 +110,7 @@
             backlog=BACKLOG,
         )
         config.load()
-        startup = self._parts.startup
+        startup = self._context.startup
         self._sockets = [
             self._listener or bind_listener(*startup.front),
             bind_listener(*startup.readiness),
@@ -133,20 +133,20 @@
             # late crosses none of their requests.
             self._config.timeout_keep_alive = math.ceil(limits.idle_seconds)
 
-    def share_among(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Take this node's slice of what all nodes share.
 
         :param nodes: nodes that there are.
         """
         self._nodes = nodes
-        self._parts.load.share_among(nodes)
+        self._context.load.set_node_count(nodes)
         self._apply_budget()
 
     def apply_settings(self, changed: SettingsChanged) -> None:
         """Take settings that changed while this process runs."""
-        self._parts.startup = changed.startup
-        self._parts.configuration.set_bound(changed.startup.revoke_seconds)
-        self._parts.replicas.known.terms = reckon_terms(
+        self._context.startup = changed.startup
+        self._context.configuration.set_bound(changed.startup.revoke_seconds)
+        self._context.replicas.freshness.bounds = compute_departure_bounds(
             changed.startup.drain_seconds, changed.startup.steady_seconds
         )
         self._apply_budget()
@@ -159,10 +159,10 @@
         until an answer says that theirs closes.
         """
         self._ingress.stops.closing = True
-        self._parts.log.record(catalogue.NODE_DRAINING)
+        self._context.log.record(catalogue.NODE_DRAINING)
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        grace = self._parts.startup.grace
+        grace = self._context.startup.grace
         last_call = max(grace / 2, grace - MARGIN_SECONDS - ANSWER_SECONDS)
         quiet = 0.0
         while loop.time() - begun < grace - MARGIN_SECONDS:
@@ -197,20 +197,20 @@
         return BoundedProtocol(
             *arguments,
             read_limits=self._read_limits,
-            log=self._parts.log,
+            log=self._context.log,
             **options,
         )
 
     def _read_limits(self) -> ClientLimits | None:
-        table = self._parts.configuration.table
+        table = self._context.configuration.table
         return table.configuration.limits if table else None
 
     def _apply_budget(self) -> None:
-        startup = self._parts.startup
-        terms = RetryTerms(
+        startup = self._context.startup
+        terms = RetryAllowance(
             startup.retry_ratio, startup.retry_extra, startup.retry_window
         )
-        share_budget(self._parts.budget, terms, self._nodes)
+        resize_budget(self._context.budget, terms, self._nodes)
 
     async def _tell_ready(self, request: Request) -> Response:
         if self.ready:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from ryelatch_core.events import CostBook, LineLog, catalogue, keep_running
-from ryelatch_core.fleet import LoadBook, Replica
+from ryelatch_core.events import UsageTracker, LineLog, catalogue, keep_running
+from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
@@ -16,10 +16,10 @@
     Wire,
 )
 from ryelatch_node.quarantine import Quarantine
-from ryelatch_node.relay._budget import RetryTerms, open_budget
+from ryelatch_node.relay._budget import RetryAllowance, make_budget
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._server import RelayServer
 from ryelatch_node.relay._upstream import AnswerHook, Upstreams
@@ -42,8 +42,8 @@
 class Housekeeper:
     """Does what has to be done now and then."""
 
-    def __init__(self, parts: Parts, server: RelayServer) -> None:
-        self._parts = parts
+    def __init__(self, context: RelayContext, server: RelayServer) -> None:
+        self._context = context
         self._server = server
         self._task: asyncio.Task[None] | None = None
         self._told = 0.0
@@ -51,7 +51,7 @@
     async def start(self) -> None:
         """Begin."""
         self._task = asyncio.create_task(
-            keep_running('housekeeper', self._run, self._parts.log)
+            keep_running('housekeeper', self._run, self._context.log)
         )
 
     async def stop(self) -> None:
@@ -62,77 +62,77 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self._parts.replicas.drop_lapsed()
-            self._parts.budget.refill(HOUSEKEEPING_SECONDS)
+            self._context.replicas.drop_expired()
+            self._context.budget.refill(HOUSEKEEPING_SECONDS)
             self._forget_gone()
-            self._parts.quarantine.judge()
-            self._parts.configuration.allows_keys()
-            self._parts.replicas.known.check()
+            self._context.quarantine.evaluate()
+            self._context.configuration.allows_keys()
+            self._context.replicas.freshness.check()
             self._server.apply_limits()
-            self._parts.log.report_dropped()
-            if self._parts.clock.monotonic() - self._told > COSTS_SECONDS:
+            self._context.log.report_dropped()
+            if self._context.clock.monotonic() - self._told > COSTS_SECONDS:
                 self._tell_costs()
-            self._parts.log.flush()
+            self._context.log.flush()
 
     def _forget_gone(self) -> None:
         """Forget what was learned of replicas that are gone."""
-        parts = self._parts
-        names = parts.replicas.replicas
+        context = self._context
+        names = context.replicas.replicas
         for book in (
-            parts.load,
-            parts.windows,
-            parts.paces.book,
-            parts.failures,
-            parts.durations,
-            parts.throttle,
+            context.load,
+            context.windows,
+            context.paces.book,
+            context.failures,
+            context.durations,
+            context.throttle,
         ):
             book.keep(names)
 
     def _tell_costs(self) -> None:
-        self._told = self._parts.clock.monotonic()
-        self._parts.log.record(
+        self._told = self._context.clock.monotonic()
+        self._context.log.record(
             catalogue.NODE_COSTS,
-            life=self._parts.costs.life,
-            counts=self._parts.costs.list_counts(),
-            seconds=self._parts.costs.list_seconds(),
+            life=self._context.costs.incarnation,
+            counts=self._context.costs.list_counts(),
+            seconds=self._context.costs.list_seconds(),
         )
 
 
 def setup(app: App) -> None:
     """Add the services ``upstreams``, ``streams`` and ``server``."""
-    parts = _collect(app)
-    watch = StreamWatch(parts, Prober(parts))
+    context = _collect(app)
+    watch = StreamWatch(context, Prober(context))
     metrics = RelayMetrics(
-        parts.log,
+        context.log,
         {
             'streams_open': lambda: len(watch.streams),
-            'configuration_version': lambda: parts.configuration.version,
-            'configuration_age_seconds': lambda: parts.configuration.age,
-            'registry_age_seconds': lambda: parts.replicas.known.age,
-            'replicas_listed': lambda: len(parts.replicas.replicas),
-            'entries_refused': lambda: parts.replicas.refused,
-            'replicas_suspected': lambda: len(parts.replicas.list_suspects()),
-            'first_replicas_full': lambda: len(parts.windows.list_closed()),
-            'requests_quarantined': lambda: parts.quarantine.count_refused(),
-            'replicas_limited': lambda: parts.throttle.count_limited(),
-            'requests_suspected': lambda: parts.quarantine.count_suspects(),
-            'retries_left': lambda: parts.budget.left,
-            'log_lines_dropped': lambda: parts.log.dropped,
+            'configuration_version': lambda: context.configuration.version,
+            'configuration_age_seconds': lambda: context.configuration.age,
+            'registry_age_seconds': lambda: context.replicas.freshness.age,
+            'replicas_listed': lambda: len(context.replicas.replicas),
+            'entries_refused': lambda: context.replicas.refused,
+            'replicas_suspected': lambda: len(context.replicas.list_suspects()),
+            'first_replicas_full': lambda: len(context.windows.list_closed()),
+            'requests_quarantined': lambda: context.quarantine.count_refused(),
+            'replicas_limited': lambda: context.throttle.count_limited(),
+            'requests_suspected': lambda: context.quarantine.count_suspects(),
+            'retries_left': lambda: context.budget.left,
+            'log_lines_dropped': lambda: context.log.dropped,
         },
-        parts.costs,
+        context.costs,
     )
     server = RelayServer(
-        parts,
-        Ingress(parts, watch, metrics),
+        context,
+        Ingress(context, watch, metrics),
         metrics,
         app.find('listener', Listener).front,
     )
-    keeper = Housekeeper(parts, server)
+    keeper = Housekeeper(context, server)
     app.hub.connect(SettingsChanged, server.apply_settings)
     app.hub.connect(
-        NodesCounted, lambda counted: server.share_among(counted.nodes)
+        NodesCounted, lambda counted: server.set_node_count(counted.nodes)
     )
-    upstreams = parts.upstreams
+    upstreams = context.upstreams
     app.add(
         Service(
             'upstreams', upstreams, start=upstreams.start, stop=upstreams.stop
@@ -167,31 +167,31 @@
     )
 
 
-def _collect(app: App) -> Parts:
+def _collect(app: App) -> RelayContext:
     startup = app.find('startup', RelayStartup)
     wire = app.find('wire', Wire)
-    load = LoadBook()
-    load.share_among(USUAL_NODES)
+    load = LoadTracker()
+    load.set_node_count(USUAL_NODES)
     throttle = app.find('throttle', Throttle)
     replicas = app.find('replicas', ReplicaView)
-    return Parts(
+    return RelayContext(
         startup=startup,
         log=app.find('log', LineLog),
         clock=app.clock,
-        chance=app.chance,
+        random_source=app.random_source,
         configuration=app.find('configuration', ConfigurationView),
         replicas=replicas,
         upstreams=Upstreams(wire, _make_hook(throttle, replicas)),
         wire=wire,
         orders=app.find('orders', Orders),
-        budget=open_budget(
-            RetryTerms(
+        budget=make_budget(
+            RetryAllowance(
                 startup.retry_ratio, startup.retry_extra, startup.retry_window
             )
         ),
         quarantine=app.find('quarantine', Quarantine),
         throttle=throttle,
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
         load=load,
     )
 
@@ -203,8 +203,8 @@
         # Another replica may have the address by now.
         if terms.entry not in {'', replica.entry}:
             return
-        throttle.note_answer(replica, terms)
+        throttle.record_answer(replica, terms)
         if terms.leaving:
-            replicas.note_leaving(replica)
+            replicas.record_leaving(replica)
 
     return on_answer
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
@@ -13,7 +13,7 @@
 
 from ryelatch_core.fleet import Replica, Stage
 from ryelatch_node.ports import Reach
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.tasks import Tasks
 
 TRY_SECONDS = 0.03
@@ -53,7 +53,7 @@
 class PathChecks:
     """Tries to reach the replicas of paths that stand still."""
 
-    parts: Parts
+    context: RelayContext
     _tried: dict[str, float] = field(default_factory=dict)
     _reached: float = _NEVER
     _alarm: float = 1
@@ -62,7 +62,7 @@
 
     def __post_init__(self) -> None:
         """Make what runs the tries."""
-        self._tasks = Tasks(self.parts.log, 'path checks')
+        self._tasks = Tasks(self.context.log, 'path checks')
 
     async def stop(self) -> None:
         """Try no more."""
@@ -71,12 +71,12 @@
     @property
     def patience(self) -> float:
         """By how much longer than usual a pause must be, from 1 on."""
-        passed = self.parts.clock.monotonic() - self._alarmed
+        passed = self.context.clock.monotonic() - self._alarmed
         return 1 + (self._alarm - 1) * math.exp(-passed / ALARM_SECONDS)
 
     def check(self, path: Iterable[Stage]) -> None:
         """Try to reach the replicas of a path that were not tried lately."""
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         due = [
             stage.replica
             for stage in path
@@ -93,7 +93,7 @@
         self._tasks.spawn(self._check(due))
 
     async def _check(self, replicas: list[Replica]) -> None:
-        clock = self.parts.clock
+        clock = self.context.clock
         for _ in itertools.repeat(None, MOST_ROUNDS):
             began = clock.monotonic()
             found = await asyncio.gather(*map(self._reach, replicas))
@@ -108,7 +108,7 @@
         began: float,
     ) -> None:
         """Keep away from the replicas that are lost."""
-        now = self.parts.clock.monotonic()
+        now = self.context.clock.monotonic()
         if Reach.LISTENS in found:
             self._reached = now
         if all(reach is Reach.LISTENS for reach in found):
@@ -116,10 +116,10 @@
             self._alarmed = now
         for replica, reach in zip(replicas, found, strict=True):
             if reach is Reach.REFUSED:
-                self.parts.replicas.suspect(replica, 'ended', full=False)
+                self.context.replicas.suspect(replica, 'ended', full=False)
             elif reach is Reach.UNKNOWN and self._reached >= began:
                 # Where nothing at all is reached, the way from here is cut.
-                self.parts.replicas.suspect(replica, 'silent', full=False)
+                self.context.replicas.suspect(replica, 'silent', full=False)
 
     async def _reach(self, replica: Replica) -> Reach:
         """Try to reach a replica twice, the second time beside the first."""
@@ -141,4 +141,4 @@
 
     async def _try(self, replica: Replica, after: float) -> Reach:
         await asyncio.sleep(after)
-        return await self.parts.orders.reach(replica)
+        return await self.context.orders.reach(replica)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_core.quarantine import FRESH_SECONDS
-from ryelatch_node.relay._exchange import Exchange, Inquiry
+from ryelatch_core.quarantine import CRASH_WINDOW_SECONDS
+from ryelatch_node.relay._exchange import Exchange, AdmittedRequest
 
-HEAD_LOST = 'first replica lost'
+FIRST_REPLICA_LOST = 'first replica lost'
 """Why a stream was interrupted whose first replica is gone."""
 
 
@@ -20,17 +20,17 @@
     :param progress: when its last event came, or it was sent or moved.
     :param tokens: for which memory is taken on its path.
     :param told: whether its pause has been recorded.
-    :param hindered: whether it waited for a replica that was lost.
-    :param tries: moves tried while it was flowing; the last at ``tried``.
+    :param delayed_by_loss: whether it waited for a replica that was lost.
+    :param move_attempts: moves tried while it was flowing; the last at ``last_move_attempt``.
     :param answered: whether the head of its answer has come.
     :param first_event: when its first event came, in monotonic seconds.
     :param cleared: whether it is known not to end the replicas that run it.
-    :param over: whether its reading has ended.
+    :param finished: whether its reading has ended.
     :param scope: the timeout of its reading; moved up to interrupt it.
     """
 
     exchange: Exchange
-    inquiry: Inquiry
+    request: AdmittedRequest
     path: tuple[Stage, ...]
     sent: float
     progress: float
@@ -41,13 +41,13 @@
     begun: bool = False
     cleared: bool = False
     moving: bool = False
-    over: bool = False
+    finished: bool = False
     told: bool = False
-    hindered: bool = False
+    delayed_by_loss: bool = False
     reason: str = ''
     delivered: int = 0
-    tries: int = 0
-    tried: float = 0
+    move_attempts: int = 0
+    last_move_attempt: float = 0
 
     @property
     def head(self) -> Replica:
@@ -65,7 +65,7 @@
         From its first event on: a slow replica may take long to begin.
         """
         first = self.first_event
-        return first is not None and now - first >= FRESH_SECONDS
+        return first is not None and now - first >= CRASH_WINDOW_SECONDS
 
     def interrupt(self, reason: str) -> None:
         """End its reading, so that it goes on elsewhere.
@@ -73,7 +73,7 @@
         Nothing is left to end where it has ended while an order to move it
         was on its way.
         """
-        if not self.reason and not self.over:
+        if not self.reason and not self.finished:
             self.reason = reason
             self.scope.reschedule(asyncio.get_running_loop().time())
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -10,7 +10,7 @@
 from yarl import URL
 
 from ryelatch_core.fleet import Replica
-from ryelatch_core.membership import SEND_SECONDS
+from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
 from ryelatch_node.ports import AnswerTerms, Headers, Wire
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 
@@ -167,9 +167,9 @@
         raw = [(name.lower(), entry) for name, entry in response.raw_headers]
         terms = self._wire.read_answer(response.status, raw)
         if terms.identity != identity and (terms.identity or terms.signed):
-            raise SendError(SendErrorKind.SPOILED, 'answer to another request')
+            raise SendError(SendErrorKind.INVALID, 'answer to another request')
         if terms.encoded:
-            raise SendError(SendErrorKind.SPOILED, 'encoded body')
+            raise SendError(SendErrorKind.INVALID, 'encoded body')
         return Answer(response, terms)
 
 
@@ -192,7 +192,7 @@
         connector=connector,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=SEND_SECONDS),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
     )
     # Repeats are decided, counted and logged by the relay alone.
     session._retry_connection = False
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -13,14 +13,14 @@
 from ryelatch_core.fleet import Replica, choose_path
 from ryelatch_core.kernel import LagMeter, cancel_task
 from ryelatch_node.ports import OrderResult
-from ryelatch_node.relay._evacuation import Evacuation
+from ryelatch_node.relay._evacuation import MigrationPlanner
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._mover import Mover
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.relay._mover import StreamMigrator
+from ryelatch_node.relay._parts import RelayContext
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._query import find_profile, make_query
+from ryelatch_node.relay._query import find_profile, make_path_query
 from ryelatch_node.relay._silence import PathChecks
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.tasks import Tasks
 
 TICK_SECONDS = 0.02
@@ -80,7 +80,7 @@
 class StreamWatch:
     """Looks after the streams of this node."""
 
-    parts: Parts
+    context: RelayContext
     prober: Prober
     streams: set[LiveStream] = field(default_factory=set)
     _asked: dict[str, float] = field(default_factory=dict)
@@ -90,15 +90,15 @@
 
     def __post_init__(self) -> None:
         """Make what moves streams."""
-        self._mover = Mover(self.parts, self.prober)
-        self._evacuation = Evacuation(self.parts.replicas)
-        self._checks = PathChecks(self.parts)
-        self._tasks = Tasks(self.parts.log, 'streams')
+        self._mover = StreamMigrator(self.context, self.prober)
+        self._evacuation = MigrationPlanner(self.context.replicas)
+        self._checks = PathChecks(self.context)
+        self._tasks = Tasks(self.context.log, 'streams')
 
     async def start(self) -> None:
         """Begin to look."""
         self._ticker = asyncio.create_task(
-            keep_running('streams', self._run, self.parts.log)
+            keep_running('streams', self._run, self.context.log)
         )
 
     async def stop(self) -> None:
@@ -106,22 +106,22 @@
         await cancel_task(self._ticker)
         await self.prober.stop()
         await self._checks.stop()
-        await self.parts.paces.stop()
+        await self.context.paces.stop()
         await self._tasks.stop()
 
     async def _run(self) -> None:
-        clock = self.parts.clock
+        clock = self.context.clock
         while True:
             due = clock.monotonic() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
             # Events that came while this process stood still lie unread, and
             # each stream would seem to have stood still for as long.
-            if not self._lag.note(due, clock.monotonic()):
+            if not self._lag.record(due, clock.monotonic()):
                 self._look()
 
     def _look(self) -> None:
-        now = self.parts.clock.monotonic()
-        lost = self.parts.replicas.list_unreachable()
+        now = self.context.clock.monotonic()
+        lost = self.context.replicas.list_unreachable()
         for stream in tuple(self.streams):
             if not stream.moving and not stream.reason:
                 self._look_at(stream, now, lost)
@@ -135,13 +135,13 @@
         pause = now - stream.progress
         silence = _find_silence(stream)
         if lost and pause > silence and stream.uses(lost):
-            if now - stream.tried > MOVE_PAUSE_SECONDS:
+            if now - stream.last_move_attempt > MOVE_PAUSE_SECONDS:
                 self._tasks.spawn(self._move(stream, pause))
             return
         if pause > silence * self._checks.patience:
             self._checks.check(stream.path)
-        if pause > max(silence, stream.inquiry.route.gap * SLOW_SHARE):
-            self.parts.paces.check(stream.path)
+        if pause > max(silence, stream.request.route.gap * SLOW_SHARE):
+            self.context.paces.check(stream.path)
         if pause > _limit(stream):
             _tell_stall(stream, pause)
             self._ask(stream.head, now)
@@ -158,28 +158,28 @@
         self._tasks.spawn(self._consult(head))
 
     async def _consult(self, head: Replica) -> None:
-        if not await self.parts.throttle.take(head):
+        if not await self.context.throttle.acquire_permit(head):
             return
-        sent = self.parts.clock.monotonic()
+        sent = self.context.clock.monotonic()
         try:
             async with asyncio.timeout(_REPORT_SECONDS):
-                report = await self.parts.orders.read_report(head)
+                report = await self.context.orders.read_report(head)
         except TimeoutError:
-            self._lag.note(sent + _REPORT_SECONDS, self.parts.clock.monotonic())
+            self._lag.record(sent + _REPORT_SECONDS, self.context.clock.monotonic())
             if self._lag.was_late(sent):
                 # The answer may lie unread. Its streams still stand still if
                 # it was lost, and it is asked again at once.
-                self.parts.log.record(
+                self.context.log.record(
                     catalogue.REPORT_DOUBTFUL, replica=head.name
                 )
                 return
             report = None
         if report is None:
-            self.parts.replicas.suspect(head, 'no report', full=False)
+            self.context.replicas.suspect(head, 'no report', full=False)
             self._leave_head(head)
             return
         for stream in self.streams:
-            address = report.stalled.get(stream.inquiry.terms.identity)
+            address = report.stalled.get(stream.request.terms.identity)
             if address is not None and stream.head.name == head.name:
                 self._blame(stream, address)
 
@@ -190,13 +190,13 @@
         """
         for stage in stream.path[1:]:
             if stage.replica.address == address:
-                stream.hindered = True
-                self.parts.replicas.suspect(stage.replica, 'stalls', full=False)
+                stream.delayed_by_loss = True
+                self.context.replicas.suspect(stage.replica, 'stalls', full=False)
 
     def _leave_head(self, head: Replica) -> None:
         for stream in self.streams:
-            if stream.head.name == head.name and stream.inquiry.repeatable:
-                stream.interrupt(HEAD_LOST)
+            if stream.head.name == head.name and stream.request.repeatable:
+                stream.interrupt(FIRST_REPLICA_LOST)
 
     async def _move(self, stream: LiveStream, pause: float) -> None:
         """Move a stream off the replicas that are unreachable.
@@ -205,13 +205,13 @@
         cross, and those of sixty others that stand still as well. It crosses
         only where it can't be resumed on a path of another zone.
         """
-        lost = self.parts.replicas.list_unreachable()
+        lost = self.context.replicas.list_unreachable()
         if stream.head.name in lost:
-            stream.interrupt(HEAD_LOST)
+            stream.interrupt(FIRST_REPLICA_LOST)
             return
         stream.moving = True
-        stream.hindered = True
-        stream.tried = self.parts.clock.monotonic()
+        stream.delayed_by_loss = True
+        stream.last_move_attempt = self.context.clock.monotonic()
         resumable = self._may_resume(stream)
         try:
             result = await self._mover.move(stream, lost, crosses=not resumable)
@@ -219,15 +219,15 @@
             stream.moving = False
         if result in {OrderResult.BEGUN, OrderResult.HELD}:
             return
-        stream.tried += REFUSED_PAUSE_SECONDS
+        stream.last_move_attempt += REFUSED_PAUSE_SECONDS
         # A new run may still come before its caller notices.
-        noticed = pause >= stream.inquiry.route.gap
+        noticed = pause >= stream.request.route.gap
         waits = result is None and noticed and pause < PATIENCE_SECONDS
         if waits and self._is_repair_near(stream):
             return
         # Without a place here a client still has one elsewhere: it sees the
         # break and comes back for the rest, if that is before it gives up.
-        hopeless = stream.inquiry.repeatable and pause > GIVE_UP_SECONDS
+        hopeless = stream.request.repeatable and pause > GIVE_UP_SECONDS
         if resumable or hopeless:
             stream.interrupt(f'move {result.value}' if result else 'no path')
 
@@ -238,31 +238,31 @@
         were lost though their replicas would have gone on with them: after
         one crash 38 of 69.
         """
-        inquiry = stream.inquiry
-        if self.parts.budget.left < 1 or not self._has_place(stream):
+        request = stream.request
+        if self.context.budget.left < 1 or not self._has_place(stream):
             return False
         # The run in progress counts, though nothing of it may have come yet.
         ran = stream.exchange.ran + int(not stream.begun)
-        return inquiry.repeatable and ran < inquiry.route.max_attempts
+        return request.repeatable and ran < request.route.max_attempts
 
     def _has_place(self, stream: LiveStream) -> bool:
         """Whether there is a path for a new run, in whichever zone."""
-        service = stream.inquiry.service
-        lost = self.parts.replicas.list_unreachable()
-        query = make_query(self.parts, stream.inquiry, lost)
+        service = stream.request.service
+        lost = self.context.replicas.list_unreachable()
+        query = make_path_query(self.context, stream.request, lost)
         if query is None:
             return False
         whole = replace(query, crosses=False)
-        offered = self.parts.replicas.list_service(service)
+        offered = self.context.replicas.list_service(service)
         return bool(choose_path(offered, whole))
 
     def _is_repair_near(self, stream: LiveStream) -> bool:
         """Whether an empty replica may hold the lost layers in time."""
-        service = stream.inquiry.service
-        profile = find_profile(self.parts, service)
+        service = stream.request.service
+        profile = find_profile(self.context, service)
         if profile is None:
             return False
-        alive = self.parts.replicas.list_alive(service)
+        alive = self.context.replicas.list_reachable(service)
         names = {one.name for one in alive}
         lost = [
             stage for stage in stream.path if stage.replica.name not in names
@@ -283,7 +283,7 @@
         """
         if self._evacuation.is_leaving(stream.head):
             return
-        retreating = self._evacuation.find_due(stream, now)
+        retreating = self._evacuation.find_replicas_to_leave(stream, now)
         if retreating:
             self._tasks.spawn(self._move_off(stream, retreating))
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -4,8 +4,8 @@
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.throttle import Heard, LimitBook, TokenBucket
-from ryelatch_node.news import PermitQuestion, PermitReply
+from ryelatch_core.throttle import ReportedLimit, LimitTracker, TokenBucket
+from ryelatch_node.news import PermitRequest, PermitReply
 
 
 @dataclass(eq=False)
@@ -18,15 +18,15 @@
 
     log: LineLog
     clock: Clock
-    limits: LimitBook = field(default_factory=LimitBook)
+    limits: LimitTracker = field(default_factory=LimitTracker)
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
-    def hear(self, name: str, heard: Heard) -> bool:
+    def record_limit(self, name: str, heard: ReportedLimit) -> bool:
         """Take what a replica said, from whomever.
 
         :returns: whether it has a limit now and had none, or the reverse.
         """
-        if not self.limits.hear(name, heard):
+        if not self.limits.record_limit(name, heard):
             return False
         if heard.limit is None:
             self.log.record(catalogue.REPLICA_UNLIMITED, replica=name)
@@ -36,10 +36,10 @@
             )
         return True
 
-    def answer(self, question: PermitQuestion) -> PermitReply:
+    def answer(self, question: PermitRequest) -> PermitReply:
         """Grant a permit to a node that asks, if there is one."""
         name, now = question.replica, self.clock.monotonic()
-        self.hear(name, Heard(question.limit, now - question.age))
+        self.record_limit(name, ReportedLimit(question.limit, now - question.age))
         heard = self.limits.find(name)
         if heard is None or heard.limit is None:
             self._buckets.pop(name, None)
@@ -51,13 +51,13 @@
         wait = bucket.find_wait(now)
         return PermitReply(granted, wait, heard.limit, max(0, now - heard.at))
 
-    def make_question(self, name: str) -> PermitQuestion:
+    def make_question(self, name: str) -> PermitRequest:
         """Ask for a permit, with what this node knows of the limit."""
         heard = self.limits.find(name)
         now = self.clock.monotonic()
         if heard is None:
-            return PermitQuestion(name, None, 0)
-        return PermitQuestion(name, heard.limit, max(0, now - heard.at))
+            return PermitRequest(name, None, 0)
+        return PermitRequest(name, heard.limit, max(0, now - heard.at))
 
     def forget_idle(self) -> None:
         """Forget the permits that nobody asks for any more.
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/_link.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/_link.py
@@ -18,7 +18,7 @@
     Frame,
     FrameError,
     Hello,
-    Pace,
+    LatencyTracker,
     Ping,
     Pong,
     Receipt,
@@ -88,7 +88,7 @@
         self.waiting = 0.0
         self.in_flight = 0
         self.streams = 0
-        self.latency_tracker = Pace()
+        self.latency_tracker = LatencyTracker()
         self._on_change = on_change
         self._on_unmatched = on_unmatched
         self._pending: dict[StepKey, _PendingStep] = {}
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
@@ -107,9 +107,9 @@
             if link is not None:
                 await link.close()
 
-    def note_leaving(self, name: str) -> None:
+    def record_leaving(self, name: str) -> None:
         """Record that an upstream reports that it is leaving."""
-        if self.roster.note_leaving(name):
+        if self.roster.record_leaving(name):
             self._announce((name,), 'upstream')
 
     def apply_peer(self, peer: str, names: Iterable[str]) -> None:
@@ -168,9 +168,9 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return  # A request to this upstream will fail by itself.
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            self.note_leaving(vm.name)
+            self.record_leaving(vm.name)
         elif status == HTTPStatus.OK:
-            self.roster.note_staying(vm.name)
+            self.roster.record_staying(vm.name)
 
     async def _open_link(self, vm: Vm) -> None:
         known = self.links.pop(vm.name, None)
@@ -188,9 +188,9 @@
                 catalogue.UPSTREAM_DOWN, upstream=name, reason=reason
             )
         elif link.hello.leaving:
-            self.note_leaving(name)
+            self.record_leaving(name)
         else:
-            self.roster.note_staying(name)
+            self.roster.record_staying(name)
             self._timeline.record(
                 catalogue.UPSTREAM_UP,
                 upstream=name,
--- a/tests/core/events/test_costs.py
+++ b/tests/core/events/test_costs.py
@@ -1,11 +1,11 @@
 """What a fleet has spent is added up from the lines of its nodes."""
 
-from ryelatch_core.events import CostBook, Line, sum_costs
+from ryelatch_core.events import UsageTracker, Line, sum_usage
 
 
-def _write(process: str, book: CostBook) -> Line:
+def _write(process: str, book: UsageTracker) -> Line:
     detail = {
-        'life': book.life,
+        'life': book.incarnation,
         'counts': book.list_counts(),
         'seconds': book.list_seconds(),
     }
@@ -14,9 +14,9 @@
 
 def test_time_of_a_block_is_added_to_its_activity() -> None:
     times = iter((10.0, 11.0, 11.5, 12.0, 14.0, 15.0))
-    book = CostBook(lambda: next(times))
+    book = UsageTracker(lambda: next(times))
     for seconds in (1.0, 1.5):
-        with book.spend('plan'):
+        with book.measure_time('plan'):
             assert seconds
     assert book.list_seconds() == {'plan': 2.5, 'process': 5.0}
 
@@ -27,18 +27,18 @@
     Each line tells all that a life has spent so far; taken for what was spent
     since the line before, or for one life, the table would be wrong.
     """
-    first, second = CostBook(), CostBook()
+    first, second = UsageTracker(), UsageTracker()
     first.count('store', 'servers', 'watch')
     lines = [_write('node-a', first)]
     first.count('store', 'servers', 'watch', number=4)
     lines.append(_write('node-a', first))
     second.count('store', 'servers', 'watch')
     lines.append(_write('node-a', second))
-    found = sum_costs(lines)
-    assert found.lives == 2
+    found = sum_usage(lines)
+    assert found.incarnations == 2
     assert found.counts == {'store/servers/watch': 6}
 
 
 def test_other_lines_tell_no_costs() -> None:
-    found = sum_costs([Line(1.0, 'node-a', 'node-started', {})])
-    assert (found.lives, found.counts, found.seconds) == (0, {}, {})
+    found = sum_usage([Line(1.0, 'node-a', 'node-started', {})])
+    assert (found.incarnations, found.counts, found.seconds) == (0, {}, {})
--- a/tests/core/events/test_story.py
+++ b/tests/core/events/test_story.py
@@ -34,7 +34,7 @@
     """
     story = explain_request(read_lines(_LINES), 'a')
     assert story is not None
-    names = [line.name for line in story.beliefs]
+    names = [line.name for line in story.state_changes]
     assert names == ['store-out', 'configuration-stale']
     assert 'no fresh word from the store' in story.cause
 
@@ -66,7 +66,7 @@
     )
     story = explain_request(read_lines(lines), 'c')
     assert story is not None
-    assert [line.name for line in story.beliefs] == [
+    assert [line.name for line in story.state_changes] == [
         'store-out',
         'replica-lapsed',
     ]
@@ -95,5 +95,5 @@
     elsewhere = [text.replace('edge-1', 'edge-2') for text in lines[:2]]
     story = explain_request(read_lines([*elsewhere, *lines[2:]]), 'a')
     assert story is not None
-    assert [line.time for line in story.beliefs] == [50, 52]
+    assert [line.time for line in story.state_changes] == [50, 52]
     assert story.cause.startswith('replicas had ended')
