--- a/tests/core/fleet/test_accounts.py
+++ b/tests/core/fleet/test_accounts.py
@@ -13,19 +13,19 @@
 
 import pytest
 
-from ryelatch_core.fleet import AccountBook, Windows
+from ryelatch_core.fleet import AccountTracker, ConcurrencyWindows
 
 _WINDOW = 40
 _USUAL = 2.5
 _SMALL = [f'small-{number}' for number in range(9)]
 
 
-def _open_window(chance: random.Random) -> Windows:
+def _open_window(chance: random.Random) -> ConcurrencyWindows:
     """Make a window of forty, as a surge leaves it."""
-    windows = Windows(chance.random)
+    windows = ConcurrencyWindows(chance.random)
     for _ in range(_WINDOW):
         windows.add('head')
-    windows.note_first('head', 9, 1, 0)
+    windows.record_first_event('head', 9, 1, 0)
     for _ in range(_WINDOW):
         windows.remove('head')
     return windows
@@ -34,7 +34,7 @@
 def _play(surge: float, *, shares: bool) -> Counter[str]:
     """Count the requests of each account that get a place in a minute."""
     chance = random.Random(1)
-    windows, book = _open_window(chance), AccountBook()
+    windows, book = _open_window(chance), AccountTracker()
     rates = dict.fromkeys(_SMALL, _USUAL) | {'large': _USUAL * surge}
     order = itertools.count()
     events: list[tuple[float, int, str, str]] = []
@@ -50,7 +50,7 @@
             windows.remove('head')
             book.remove(account)
             continue
-        yields = shares and book.is_heavy(account)
+        yields = shares and book.exceeds_share(account)
         if 'head' in windows.list_closed(yields=yields):
             continue
         windows.add('head')
@@ -82,15 +82,15 @@
 
 @pytest.mark.parametrize('busy', [1, 10])
 def test_even_accounts_are_not_heavy(busy: int) -> None:
-    book = AccountBook()
+    book = AccountTracker()
     for number, _ in itertools.product(range(busy), range(5)):
         book.add(f'account-{number}')
-    assert not any(book.is_heavy(f'account-{one}') for one in range(busy))
+    assert not any(book.exceeds_share(f'account-{one}') for one in range(busy))
 
 
 def test_few_requests_are_not_heavy() -> None:
     """One account has two requests, the other one."""
-    book = AccountBook()
+    book = AccountTracker()
     for account in ('one', 'one', 'other'):
         book.add(account)
-    assert not book.is_heavy('one')
+    assert not book.exceeds_share('one')
--- a/tests/core/fleet/test_copies.py
+++ b/tests/core/fleet/test_copies.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from core_fleet import USUAL, ZONES, make_fleet, make_query
+from core_fleet import TYPICAL_MODEL, ZONES, make_fleet, make_query
 from ryelatch_core.fleet import Replica, choose_path, plan_moves
 
 _MOST_HEAD_SHARE = 0.1
 
 
 def _place(fleet: list[Replica]) -> list[Replica]:
-    moves = {move.replica.name: move for move in plan_moves(fleet, USUAL)}
+    moves = {move.replica.name: move for move in plan_moves(fleet, TYPICAL_MODEL)}
     return [
         dataclasses.replace(one, layers=moves[one.name].layers)
         if one.name in moves
@@ -57,7 +57,7 @@
     for zone in ZONES:
         for head in _list_heads(placed, zone):
             assert head.layers
-            assert len(head.layers) <= USUAL.layers * _MOST_HEAD_SHARE
+            assert len(head.layers) <= TYPICAL_MODEL.layers * _MOST_HEAD_SHARE
 
 
 @pytest.mark.parametrize('zone', ZONES)
@@ -78,7 +78,7 @@
         one for one in placed if one.name == f'{zone}-v100-3' and one.layers
     )
     rest = [one for one in placed if one is not lost and one.layers]
-    moved = {move.replica.name: move.layers for move in plan_moves(rest, USUAL)}
+    moved = {move.replica.name: move.layers for move in plan_moves(rest, TYPICAL_MODEL)}
     for head in heads:
         assert head.layers
         assert moved.get(head.name, head.layers).covers(head.layers)
@@ -107,7 +107,7 @@
             for one in placed
             if one.layers
         )
-        for layer in range(USUAL.layers)
+        for layer in range(TYPICAL_MODEL.layers)
     )
     assert copies >= 2
     assert len(_list_heads(placed, 'zone-a')) == copies
--- a/tests/core/fleet/test_failures.py
+++ b/tests/core/fleet/test_failures.py
@@ -3,12 +3,12 @@
 import random
 from collections import Counter
 
-from ryelatch_core.fleet import FailureBook
+from ryelatch_core.fleet import FailureTracker
 
 _NAMES = ('good-1', 'grey', 'good-2')
 
 
-def _choose(book: FailureBook, now: float, draw: random.Random) -> str:
+def _choose(book: FailureTracker, now: float, draw: random.Random) -> str:
     failing = book.list_failing(now)
     return draw.choice([name for name in _NAMES if name not in failing])
 
@@ -20,7 +20,7 @@
     :param usual: share that every replica fails.
     :param rate: requests of this node a second.
     """
-    book = FailureBook()
+    book = FailureTracker()
     draw = random.Random(4)
     sent: Counter[str] = Counter()
     for number in range(int(60 * rate)):
@@ -28,7 +28,7 @@
         name = _choose(book, now, draw)
         sent[name] += 1
         share = max(usual, fails if name == 'grey' else 0)
-        book.note(name, 'route', now, failed=draw.random() < share)
+        book.record(name, 'route', now, failed=draw.random() < share)
     return sent
 
 
@@ -50,8 +50,8 @@
 
 def test_replica_is_tried_again() -> None:
     """A replica failed everything and is well again."""
-    book = FailureBook()
+    book = FailureTracker()
     for now in range(4):
-        book.note('grey', 'route', now, failed=True)
+        book.record('grey', 'route', now, failed=True)
     assert book.list_failing(4) == {'grey'}
     assert not book.list_failing(12)
--- a/tests/core/fleet/test_paces.py
+++ b/tests/core/fleet/test_paces.py
@@ -5,7 +5,7 @@
 """
 
 from core_fleet import make_query, make_replica
-from ryelatch_core.fleet import PaceBook, choose_path
+from ryelatch_core.fleet import StepFactorTracker, choose_path
 
 _SLOW = 12.0
 _REPLICAS = [
@@ -44,7 +44,7 @@
 
 def test_slow_replica_is_trusted_again() -> None:
     """It says so itself, or nothing is heard of it for a while."""
-    book = PaceBook()
+    book = StepFactorTracker()
     assert book.note('a', _SLOW, 0)
     assert not book.note('a', _SLOW, 1)
     assert book.note('b', _SLOW, 1)
@@ -56,7 +56,7 @@
 
 def test_nonsense_of_a_pace_is_bounded() -> None:
     """No word of a replica makes it faster, or its paths endless."""
-    book = PaceBook()
+    book = StepFactorTracker()
     assert not book.note('a', -1, 0)
     assert not book.note('a', 0, 0)
     assert book.note('a', 1e300, 0)
--- a/tests/core/fleet/test_path.py
+++ b/tests/core/fleet/test_path.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from core_fleet import (
-    USUAL,
+    TYPICAL_MODEL,
     make_fleet,
     make_query,
     make_replica,
@@ -16,7 +16,7 @@
 )
 from ryelatch_core.fleet import (
     LayerRange,
-    LoadBook,
+    LoadTracker,
     LoadEstimate,
     Stage,
     choose_path,
@@ -28,7 +28,7 @@
 def _place() -> list[object]:
     return [
         dataclasses.replace(move.replica, layers=move.layers)
-        for move in plan_moves(make_fleet(), USUAL)
+        for move in plan_moves(make_fleet(), TYPICAL_MODEL)
     ]
 
 
@@ -135,13 +135,13 @@
     replicas = [make_replica('one', 0, 30), make_replica('two', 0, 30)]
     rest = make_replica('rest', 30, 60)
     tail = make_replica('tail', 60, 80)
-    book = LoadBook()
+    book = LoadTracker()
     used: Counter[str] = Counter()
     chance = random.Random(3)
     for _ in range(40):
         query = make_query(
             draw=chance.random,
-            own_tokens=book.tokens,
+            local_tokens=book.tokens,
             load=book.estimate(0),
         )
         path = choose_path([*replicas, rest, tail], query)
@@ -150,9 +150,9 @@
     assert min(used['one'], used['two']) >= 15
 
 
-def test_load_book_forgets_what_ended() -> None:
+def test_load_tracker_forgets_finished_requests() -> None:
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
+    book = LoadTracker()
     book.add(path, 100, 0)
     book.add(path, 50, 0)
     book.remove(path, 100, 0)
@@ -179,8 +179,8 @@
         for first in range(0, 80, 4)
     ]
     chance = random.Random(5)
-    book = LoadBook()
-    book.share_among(60)
+    book = LoadTracker()
+    book.set_node_count(60)
     used: Counter[str] = Counter()
     now = 0.0
     ends: list[tuple[float, tuple[Stage, ...]]] = []
@@ -191,7 +191,7 @@
             book.remove(path, 991, end)
         query = make_query(
             draw=chance.random,
-            own_tokens=book.tokens,
+            local_tokens=book.tokens,
             load=book.estimate(now),
         )
         path = choose_path([*fast, *slow], query)
@@ -216,7 +216,7 @@
         for first in (20, 40, 60)
     ]
     # Requests that cost others nothing, so that only the slots tell.
-    profile = dataclasses.replace(USUAL, writer_ms=0)
+    profile = dataclasses.replace(TYPICAL_MODEL, sequence_ms=0)
     for taken, chosen in ((40, 'fast'), (96, 'slow')):
         load = LoadEstimate({'fast': taken}, {})
         query = make_query(draw=float, load=load, profile=profile)
@@ -230,8 +230,8 @@
     three seconds and sent all to the fastest first replica.
     """
     path = (Stage(make_replica('one', 0, 80), LayerRange(0, 80)),)
-    book = LoadBook()
-    book.share_among(60)
+    book = LoadTracker()
+    book.set_node_count(60)
     book.estimate(0)
     book.add(path, 991, 0.1)
     assert book.estimate(0.5).requests['one'] > 20
--- a/tests/core/fleet/test_plan.py
+++ b/tests/core/fleet/test_plan.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from core_fleet import USUAL, make_fleet, make_replica
+from core_fleet import TYPICAL_MODEL, make_fleet, make_replica
 from ryelatch_core.fleet import (
     LayerRange,
     Replica,
@@ -17,7 +17,7 @@
 def _apply(fleet: list[Replica]) -> list[Replica]:
     moves = {
         move.replica.name: move
-        for move in plan_moves(fleet, USUAL, thorough=True)
+        for move in plan_moves(fleet, TYPICAL_MODEL, allow_relayout=True)
     }
     return [
         dataclasses.replace(one, layers=moves[one.name].layers)
@@ -50,14 +50,14 @@
         assert not _find_gaps(_list_held(fleet, zone))
     for replica in fleet:
         if replica.layers:
-            kind = USUAL.accelerators[replica.accelerator]
-            room = estimate_capacity(USUAL, kind, replica.layers)
+            kind = TYPICAL_MODEL.accelerators[replica.accelerator]
+            room = estimate_capacity(TYPICAL_MODEL, kind, replica.layers)
             assert room >= 30 * 991
 
 
 def test_whole_plan_changes_nothing() -> None:
     """Loads have their price, so a fleet that holds all is let be."""
-    assert not plan_moves(_apply(make_fleet()), USUAL)
+    assert not plan_moves(_apply(make_fleet()), TYPICAL_MODEL)
 
 
 @settings(max_examples=60, deadline=None)
@@ -72,9 +72,9 @@
     placed = _apply(make_fleet())
     fleet = [one for number, one in enumerate(placed) if number not in lost]
     for _ in range(4):
-        for move in plan_moves(fleet, USUAL):
-            kind = USUAL.accelerators[move.replica.accelerator]
-            assert len(move.layers) * USUAL.layer_mb < kind.memory_mb
+        for move in plan_moves(fleet, TYPICAL_MODEL):
+            kind = TYPICAL_MODEL.accelerators[move.replica.accelerator]
+            assert len(move.layers) * TYPICAL_MODEL.layer_mb < kind.memory_mb
         fleet = _apply(fleet)
     assert not _find_gaps(_list_held(fleet))
 
@@ -91,7 +91,7 @@
         dataclasses.replace(one, leaving=True) if one is old else one
         for one in fleet
     ]
-    moves = plan_moves([*rest, new], USUAL)
+    moves = plan_moves([*rest, new], TYPICAL_MODEL)
     assert len(moves) == 1
     assert moves[0].replica.layers is None
     assert old.layers is not None
@@ -118,7 +118,7 @@
         make_replica('two', 22, 50),
         make_replica('three', 50, 80),
     ]
-    moves = plan_moves(fleet, USUAL)
+    moves = plan_moves(fleet, TYPICAL_MODEL)
     assert len(moves) == 1
     assert moves[0].layers in {LayerRange(0, 22), LayerRange(20, 50)}
 
@@ -154,7 +154,7 @@
     zone = [one for one in rest if one.zone == 'zone-a']
     lost = _find_gaps(_list_held(zone))
     assert len(lost) >= 20
-    moves = {move.replica.name: move for move in plan_moves(rest, USUAL)}
+    moves = {move.replica.name: move for move in plan_moves(rest, TYPICAL_MODEL)}
     held = [
         moves[one.name].layers if one.name in moves else one.layers
         for one in zone
@@ -179,10 +179,10 @@
     """
     fleet = _apply(make_fleet())
     rest = [one for one in fleet if one.name != 'zone-a-a100-0']
-    moves = {move.replica.name: move for move in plan_moves(rest, USUAL)}
+    moves = {move.replica.name: move for move in plan_moves(rest, TYPICAL_MODEL)}
     for move in moves.values():
-        kind = USUAL.accelerators[move.replica.accelerator]
-        room = estimate_capacity(USUAL, kind, move.layers)
+        kind = TYPICAL_MODEL.accelerators[move.replica.accelerator]
+        room = estimate_capacity(TYPICAL_MODEL, kind, move.layers)
         assert room >= 40 * 991
 
 
--- a/tests/core/fleet/test_start.py
+++ b/tests/core/fleet/test_start.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from core_fleet import USUAL, make_query, make_replica
-from ryelatch_core.fleet import LoadBook, LoadEstimate, choose_path
+from core_fleet import TYPICAL_MODEL, make_query, make_replica
+from ryelatch_core.fleet import LoadTracker, LoadEstimate, choose_path
 
 _NODES = 60
 _EACH = 5
@@ -18,7 +18,7 @@
 
 _LAYERS = 6
 _SLIGHT = 0.01
-_SMALL = replace(USUAL, layers=_LAYERS)
+_SMALL = replace(TYPICAL_MODEL, layers=_LAYERS)
 _KINDS = ('a100', 'v100', 'v100', 'l4', 'l4', 'l4')
 _REPLICAS = [
     make_replica(f'r-{number}', 0, _LAYERS, 'zone-a', kind)
@@ -30,7 +30,7 @@
     """Send what waited, and count it by first replica."""
     sent: Counter[str] = Counter()
     for node in range(_NODES):
-        load = LoadBook()
+        load = LoadTracker()
         draw = random.Random(node).random
         for number in range(_EACH):
             now = number * 0.04
@@ -58,9 +58,9 @@
     assert sent['r-0'] > _NODES * _EACH * _MOST_SHARE
 
 
-def test_doubt_passes() -> None:
+def test_uncertainty_vanishes() -> None:
     """A node that has run for a while goes by what it knows."""
-    load = LoadBook()
-    load.share_among(_NODES)
+    load = LoadTracker()
+    load.set_node_count(_NODES)
     assert load.estimate(10).doubt > 1 - _SLIGHT
     assert load.estimate(40).doubt < _SLIGHT
--- a/tests/core/fleet/test_window.py
+++ b/tests/core/fleet/test_window.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from ryelatch_core.fleet import Windows
+from ryelatch_core.fleet import ConcurrencyWindows
 
 SLOTS = 96
 QUEUE = 48
@@ -73,7 +73,7 @@
 ) -> Play:
     """Play arrivals against one first replica."""
     chance = random.Random(seed)
-    nodes = [Windows(chance.random) for _ in shares]
+    nodes = [ConcurrencyWindows(chance.random) for _ in shares]
     head, play = Head(), Play()
     order = itertools.count()
     events: list[tuple[float, int, str, int]] = [
@@ -85,7 +85,7 @@
     def start(at: float, came: float, node: int) -> None:
         head.busy += 1
         first = at - came + READ_SECONDS
-        nodes[node].note_first('head', first, OBJECTIVE, at)
+        nodes[node].record_first_event('head', first, OBJECTIVE, at)
         play.in_time[int(at)] += first <= OBJECTIVE
         lasts = ANSWER_SECONDS * chance.uniform(0.3, 1.7)
         heapq.heappush(events, (at + lasts, next(order), 'end', node))
@@ -108,7 +108,7 @@
             nodes[node].add('head')
             head.waiting.append((at, node))
         else:
-            nodes[node].note_full('head', at)
+            nodes[node].record_refusal('head', at)
             play.refused += 1
         taken = head.busy + len(head.waiting)
         play.most[int(at)] = max(play.most[int(at)], taken)
@@ -159,10 +159,10 @@
 
 def test_late_requests_leave_room_for_others() -> None:
     """A window is nearly full; those who come for the first time go first."""
-    windows = Windows(random.Random(1).random)
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
-    windows.note_full('head', 1)
+    windows.record_refusal('head', 1)
     windows.remove('head')
     windows.remove('head')
     windows.remove('head')
@@ -173,9 +173,9 @@
 
 def test_requests_sent_together_shrink_once() -> None:
     """Ten requests that were sent before the window shrank are late too."""
-    windows = Windows(random.Random(1).random)
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(20):
         windows.add('head')
     for step in range(10):
-        windows.note_first('head', 1.0, OBJECTIVE, 1 + step / 100)
+        windows.record_first_event('head', 1.0, OBJECTIVE, 1 + step / 100)
     assert windows.read_limit('head') == pytest.approx(17)
--- a/tests/core/membership/test_departure.py
+++ b/tests/core/membership/test_departure.py
@@ -3,9 +3,9 @@
 import pytest
 
 from ryelatch_core.membership import (
-    ANSWER_SECONDS,
-    SEND_SECONDS,
-    reckon_terms,
+    STORE_OVERDUE_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    compute_departure_bounds,
 )
 
 _BOUNDS = [(2.0, 3.0), (3.0, 4.0), (2.0, 1.0), (5.0, 9.0)]
@@ -17,9 +17,9 @@
     steady: float,
 ) -> None:
     """A choice by the oldest list allowed arrives in time."""
-    terms = reckon_terms(bound, steady)
-    assert terms.oldest + SEND_SECONDS < bound
-    assert terms.oldest > ANSWER_SECONDS
+    terms = compute_departure_bounds(bound, steady)
+    assert terms.max_age + CONNECT_TIMEOUT_SECONDS < bound
+    assert terms.max_age > STORE_OVERDUE_SECONDS
 
 
 @pytest.mark.parametrize(('bound', 'steady'), _BOUNDS)
@@ -31,8 +31,8 @@
 
     It is kept for no longer than the outage itself excuses.
     """
-    terms = reckon_terms(bound, steady)
-    assert terms.kept + SEND_SECONDS < steady
+    terms = compute_departure_bounds(bound, steady)
+    assert terms.retention + CONNECT_TIMEOUT_SECONDS < steady
 
 
 def test_live_replicas_have_time_to_come_back() -> None:
@@ -41,11 +41,11 @@
     With the shorter time of small fleets, those that take the longest miss it
     by 0.2 s.
     """
-    assert reckon_terms(3, 4).kept == pytest.approx(2.5)
-    assert reckon_terms(2, 3).kept == pytest.approx(2.3)
+    assert compute_departure_bounds(3, 4).retention == pytest.approx(2.5)
+    assert compute_departure_bounds(2, 3).retention == pytest.approx(2.3)
 
 
 def test_small_bound_leaves_time_to_look() -> None:
     """The store is not asked without a pause, however small the bound is."""
-    assert reckon_terms(0.5, 0.5).oldest == pytest.approx(0.8)
-    assert reckon_terms(0.5, 0.5).kept == 0
+    assert compute_departure_bounds(0.5, 0.5).max_age == pytest.approx(0.8)
+    assert compute_departure_bounds(0.5, 0.5).retention == 0
--- a/tests/core/membership/test_roster.py
+++ b/tests/core/membership/test_roster.py
@@ -6,7 +6,7 @@
     Roster,
     Vm,
     choose_peers,
-    may_order,
+    may_send_command,
     release_lease,
     should_watch,
     take_lease,
@@ -20,8 +20,8 @@
 def test_any_word_of_leaving_is_enough() -> None:
     roster = Roster()
     roster.apply_list([_vm('a'), _vm('b'), _vm('c'), _vm('d')])
-    assert roster.note_leaving('a')
-    assert not roster.note_leaving('a')
+    assert roster.record_leaving('a')
+    assert not roster.record_leaving('a')
     assert roster.apply_peer('peer', ['b']) == ('b',)
     change = roster.apply_list(
         [_vm('a'), _vm('b'), _vm('c', leaving=True), _vm('d')]
@@ -91,12 +91,12 @@
     """
     renewed = 100.0
     last = max(
-        now / 10 for now in range(1000, 1200) if may_order(renewed, 0, now / 10)
+        now / 10 for now in range(1000, 1200) if may_send_command(renewed, 0, now / 10)
     )
     taken = renewed + TTL_SECONDS
     first = min(
         now / 10
         for now in range(1000, 1200)
-        if may_order(taken, taken, now / 10)
+        if may_send_command(taken, taken, now / 10)
     )
     assert last + 2 <= first
--- a/tests/core/pipeline/test_chain.py
+++ b/tests/core/pipeline/test_chain.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from ryelatch_core.pipeline import (
-    Offer,
+    Candidate,
     check_chain,
     choose_chain,
-    cut_prompt,
+    split_prompt,
 )
 
 
-def _chain(*ranges: tuple[int, int], version: str = '1') -> tuple[Offer, ...]:
+def _chain(*ranges: tuple[int, int], version: str = '1') -> tuple[Candidate, ...]:
     return tuple(
-        Offer(f'e{first}-{last}', 'z', first, last, version)
+        Candidate(f'e{first}-{last}', 'z', first, last, version)
         for first, last in ranges
     )
 
@@ -35,7 +35,7 @@
     ],
 )
 def test_wrong_chains_are_refused(
-    chain: tuple[Offer, ...], reason: str
+    chain: tuple[Candidate, ...], reason: str
 ) -> None:
     """Engines change their ranges while a chain is put together.
 
@@ -47,7 +47,7 @@
 
 _OFFERS = st.lists(
     st.builds(
-        Offer,
+        Candidate,
         st.uuids().map(str),
         st.sampled_from(('z1', 'z2')),
         st.integers(0, 3),
@@ -60,7 +60,7 @@
 
 
 @given(_OFFERS)
-def test_choice_is_whole_and_cheapest(offers: list[Offer]) -> None:
+def test_choice_is_whole_and_cheapest(offers: list[Candidate]) -> None:
     hops = {('z1', 'z2'): 1.5, ('z2', 'z1'): 1.5}
     chosen = choose_chain(offers, 4, '1', hops)
     possible = [
@@ -78,7 +78,7 @@
 
 
 def _cost(
-    chain: tuple[Offer, ...], hops: dict[tuple[str, str], float]
+    chain: tuple[Candidate, ...], hops: dict[tuple[str, str], float]
 ) -> float:
     pairs = itertools.pairwise(stage.zone for stage in chain)
     return sum(stage.cost for stage in chain) + sum(
@@ -88,7 +88,7 @@
 
 @given(st.integers(1, 100), st.integers(1, 20))
 def test_chunks_tile_a_prompt(length: int, chunk: int) -> None:
-    pieces = cut_prompt(length, chunk)
+    pieces = split_prompt(length, chunk)
     positions = [
         position for start, end in pieces for position in range(start, end)
     ]
--- a/tests/core/pipeline/test_placement.py
+++ b/tests/core/pipeline/test_placement.py
@@ -6,9 +6,9 @@
 
 from ryelatch_core.pipeline import (
     Machine,
-    Placed,
+    Assignment,
     bound_throughput,
-    cut_evenly,
+    split_evenly,
     improve_placement,
     place_layers,
 )
@@ -20,9 +20,9 @@
 
 def test_bound_is_the_weakest_stage() -> None:
     placement = (
-        Placed(_machine('a', 40), 0, 4),
-        Placed(_machine('b', 80), 4, 8),
-        Placed(_machine('c', 20), 0, 4),
+        Assignment(_machine('a', 40), 0, 4),
+        Assignment(_machine('b', 80), 4, 8),
+        Assignment(_machine('c', 20), 0, 4),
     )
     assert bound_throughput(placement, 8, {}) == pytest.approx(15)
     assert bound_throughput(placement[1:2], 8, {}) == 0
@@ -30,8 +30,8 @@
 
 def test_bound_sees_a_slow_link() -> None:
     placement = (
-        Placed(_machine('a', 40, 'z1'), 0, 4),
-        Placed(_machine('b', 40, 'z2'), 4, 8),
+        Assignment(_machine('a', 40, 'z1'), 0, 4),
+        Assignment(_machine('b', 40, 'z2'), 4, 8),
     )
     links = {('z1', 'z2'): 3.0}
     assert bound_throughput(placement, 8, links) == pytest.approx(3)
@@ -54,8 +54,8 @@
 def test_moves_load_few_layers() -> None:
     """One stage lost a machine; one move mends it."""
     placement = (
-        *(Placed(_machine(f'a{index}', 40), 0, 4) for index in range(5)),
-        Placed(_machine('b', 40), 4, 8),
+        *(Assignment(_machine(f'a{index}', 40), 0, 4) for index in range(5)),
+        Assignment(_machine('b', 40), 4, 8),
     )
     plan = improve_placement(placement, 8, {})
     assert plan.throughput == pytest.approx(30)
@@ -65,7 +65,7 @@
 def test_even_cuts_tile() -> None:
     for layers in range(1, 30):
         for stages in range(1, layers + 1):
-            bounds = cut_evenly(layers, stages)
+            bounds = split_evenly(layers, stages)
             widths = {end - start for start, end in itertools.pairwise(bounds)}
             assert sum(widths) <= layers
             assert max(widths) - min(widths) <= 1
--- a/tests/core/quarantine/test_book.py
+++ b/tests/core/quarantine/test_book.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ryelatch_core.quarantine import Book, Case, Manner, Step, StoredCase
+from ryelatch_core.quarantine import CrashTracker, Crashes, RequestPhase, StoreWrite, StoredCrashes
 from ryelatch_core.quarantine._book import (
     CLEARED_SECONDS,
     LEFT_SECONDS,
@@ -23,26 +23,26 @@
 _LATER = _NOW + SETTLE_SECONDS
 
 
-def _make(patience: float = 0.5) -> Book:
-    return Book(patience)
+def _make(patience: float = 0.5) -> CrashTracker:
+    return CrashTracker(patience)
 
 
-def _end(book: Book, digest: str, *lives: str, now: float = _NOW) -> None:
-    for life in lives:
-        book.note_end(digest, life, Manner.BEGUN, now)
+def _end(book: CrashTracker, digest: str, *incarnations: str, now: float = _NOW) -> None:
+    for life in incarnations:
+        book.record_crash(digest, life, RequestPhase.BEGUN, now)
 
 
-def _wait_and_end(book: Book, digest: str, *lives: str) -> None:
-    for life in lives:
-        book.note_end(digest, life, Manner.WAITING, _NOW)
+def _wait_and_end(book: CrashTracker, digest: str, *incarnations: str) -> None:
+    for life in incarnations:
+        book.record_crash(digest, life, RequestPhase.WAITING, _NOW)
 
 
-def _store(digest: str, *begun: str, revision: int = 5) -> StoredCase:
-    return StoredCase(digest, Case(frozenset(begun)), revision)
+def _store(digest: str, *begun: str, revision: int = 5) -> StoredCrashes:
+    return StoredCrashes(digest, Crashes(frozenset(begun)), revision)
 
 
-def _refuses(book: Book, digest: str, now: float = _NOW) -> bool:
-    book.judge(now)
+def _refuses(book: CrashTracker, digest: str, now: float = _NOW) -> bool:
+    book.evaluate(now)
     return book.find_refused(digest) is not None
 
 
@@ -54,7 +54,7 @@
     assert _refuses(book, 'a')
     found = book.find_refused('a')
     assert found is not None
-    assert found.lives == {'r-1', 'r-2', 'r-3'}
+    assert found.incarnations == {'r-1', 'r-2', 'r-3'}
     assert not _refuses(book, 'b')
 
 
@@ -99,7 +99,7 @@
     assert _refuses(book, 'cause')
 
 
-def test_waiting_tells_less_than_beginning() -> None:
+def test_waiting_counts_less_than_begun() -> None:
     """Each replica was lost as another request had just begun there.
 
     None of those has ended three, but each speaks for itself more than one
@@ -131,7 +131,7 @@
     book = _make()
     _end(book, 'a', 'r-1', 'r-2')
     assert book.is_suspect('a', _NOW)
-    book.note_run('a', _NOW)
+    book.record_run('a', _NOW)
     _end(book, 'a', 'r-3', 'r-4', 'r-5', now=_NOW + CLEARED_SECONDS - 1)
     assert not _refuses(book, 'a', _NOW + CLEARED_SECONDS - 1)
     assert not book.is_suspect('a', _NOW)
@@ -140,7 +140,7 @@
 def test_run_of_long_ago_clears_nothing() -> None:
     """New software of the replicas ends under what the old one answered."""
     book = _make()
-    book.note_run('a', _NOW)
+    book.record_run('a', _NOW)
     later = _NOW + CLEARED_SECONDS
     _end(book, 'a', 'r-1', 'r-2', 'r-3', now=later)
     assert _refuses(book, 'a', later)
@@ -149,19 +149,19 @@
 def test_run_takes_back_what_others_told() -> None:
     book = _make()
     book.put(_store('a', 'r-1', 'r-2', revision=7), _NOW)
-    book.note_run('a', _NOW)
-    assert book.list_due(_NOW) == [Step('a', None, 7)]
+    book.record_run('a', _NOW)
+    assert book.list_due_writes(_NOW) == [StoreWrite('a', None, 7)]
 
 
 def test_first_end_is_told_after_a_while() -> None:
     """Most that lose a replica run on elsewhere at once, and cost no call."""
     book = _make(patience=0.5)
     _end(book, 'a', 'r-1')
-    assert not book.list_due(_NOW + TELL_SECONDS / 2)
-    told = Step('a', Case(frozenset(('r-1',))), 0)
-    assert book.list_due(_NOW + TELL_SECONDS) == [told]
-    book.note_run('a', _NOW)
-    assert not book.list_due(_NOW + TELL_SECONDS)
+    assert not book.list_due_writes(_NOW + TELL_SECONDS / 2)
+    told = StoreWrite('a', Crashes(frozenset(('r-1',))), 0)
+    assert book.list_due_writes(_NOW + TELL_SECONDS) == [told]
+    book.record_run('a', _NOW)
+    assert not book.list_due_writes(_NOW + TELL_SECONDS)
 
 
 def test_second_end_is_told_at_once() -> None:
@@ -169,10 +169,10 @@
     book = _make()
     book.put(_store('a', 'r-1', revision=7), _NOW)
     _end(book, 'a', 'r-2')
-    told = Step('a', Case(frozenset(('r-1', 'r-2'))), 7)
-    assert book.list_due(_NOW) == [told]
+    told = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2'))), 7)
+    assert book.list_due_writes(_NOW) == [told]
     book.put(_store('a', 'r-1', 'r-2', revision=8), _NOW)
-    assert not book.list_due(_NOW)
+    assert not book.list_due_writes(_NOW)
 
 
 def test_deleted_object_lets_a_request_in() -> None:
@@ -182,7 +182,7 @@
     assert _refuses(book, 'a')
     book.remove('a', _NOW)
     assert not _refuses(book, 'a')
-    assert not book.list_due(_NOW + KEPT_SECONDS)
+    assert not book.list_due_writes(_NOW + KEPT_SECONDS)
 
 
 def test_what_the_store_lost_is_written_again() -> None:
@@ -196,11 +196,11 @@
     book.put(_store('b', 'r-1'), _NOW)
     book.replace((), _NOW)
     assert _refuses(book, 'a')
-    assert not book.list_due(_NOW)
-    lost = Step('a', Case(frozenset(('r-1', 'r-2', 'r-3'))), 0)
-    assert book.list_due(_NOW + REWRITE_SECONDS) == [lost]
+    assert not book.list_due_writes(_NOW)
+    lost = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2', 'r-3'))), 0)
+    assert book.list_due_writes(_NOW + REWRITE_SECONDS) == [lost]
     book.put(_store('a', 'r-1', 'r-2', 'r-3', revision=2), _NOW)
-    assert not book.list_due(_NOW + REWRITE_SECONDS)
+    assert not book.list_due_writes(_NOW + REWRITE_SECONDS)
 
 
 def test_own_ends_survive_a_new_list() -> None:
@@ -212,7 +212,7 @@
     assert _refuses(book, 'a')
 
 
-def test_late_word_is_passed_over() -> None:
+def test_older_revision_is_ignored() -> None:
     book = _make()
     book.put(_store('a', 'r-1', 'r-2', 'r-3', revision=9), _NOW)
     book.put(_store('a', 'r-1', revision=8), _NOW)
@@ -226,13 +226,13 @@
         (('r-1', 'r-2', 'r-3'), KEPT_SECONDS),
     ],
 )
-def test_ends_lapse(lives: tuple[str, ...], lasts: float) -> None:
+def test_ends_lapse(incarnations: tuple[str, ...], lasts: float) -> None:
     """Software is mended, and what ended it once may run again."""
     book = _make()
-    _end(book, 'a', *lives)
-    book.put(_store('a', *lives, revision=7), _NOW)
-    assert not book.list_due(_NOW + lasts - 1)
-    assert book.list_due(_NOW + lasts + 1) == [Step('a', None, 7)]
+    _end(book, 'a', *incarnations)
+    book.put(_store('a', *incarnations, revision=7), _NOW)
+    assert not book.list_due_writes(_NOW + lasts - 1)
+    assert book.list_due_writes(_NOW + lasts + 1) == [StoreWrite('a', None, 7)]
 
 
 def test_refused_request_is_tried_again_later() -> None:
@@ -245,7 +245,7 @@
     later = _NOW + REFUSED_SECONDS
     assert _refuses(book, 'a', later - 1)
     assert not _refuses(book, 'a', later)
-    book.note_run('a', later)
+    book.record_run('a', later)
     _end(book, 'a', 'r-4', now=later + CLEARED_SECONDS)
     assert not _refuses(book, 'a', later + CLEARED_SECONDS)
 
@@ -284,12 +284,12 @@
     assert set(book.refused) == {'a', 'b', 'c'}
 
 
-def test_word_of_a_lost_node_is_deleted() -> None:
+def test_object_of_a_lost_node_is_deleted() -> None:
     book = _make(patience=0.5)
     book.put(_store('a', 'r-1', revision=7), _NOW)
-    assert not book.list_due(_NOW + SUSPECT_SECONDS + 1)
+    assert not book.list_due_writes(_NOW + SUSPECT_SECONDS + 1)
     later = _NOW + SUSPECT_SECONDS + LEFT_SECONDS + 1
-    assert book.list_due(later) == [Step('a', None, 7)]
+    assert book.list_due_writes(later) == [StoreWrite('a', None, 7)]
 
 
 def test_suspects_are_bounded_and_refusals_kept() -> None:
@@ -303,9 +303,9 @@
 
 
 def test_a_case_is_bounded() -> None:
-    case = Case()
+    crashes = Crashes()
     for number in itertools.count():
-        case = case.add(f'r-{number}', Manner.BEGUN)
+        crashes = crashes.add(f'r-{number}', RequestPhase.BEGUN)
         if number > 100:
             break
-    assert len(case.lives) < 20
+    assert len(crashes.incarnations) < 20
--- a/tests/core/routing/test_table.py
+++ b/tests/core/routing/test_table.py
@@ -5,7 +5,7 @@
 from ryelatch_core.routing import (
     Account,
     Configuration,
-    Repeat,
+    RetryPolicy,
     Route,
     Split,
     build_table,
@@ -19,7 +19,7 @@
         host=host,
         prefix=prefix,
         splits=(Split('old', 3), Split('new', 1)),
-        repeat=Repeat.ANY,
+        retry_policy=RetryPolicy.ANY,
         streaming=False,
         max_attempts=2,
         timeout=1,
--- a/tests/core/streams/test_events.py
+++ b/tests/core/streams/test_events.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryelatch_core.streams import EventCutter, StreamError
+from ryelatch_core.streams import EventSplitter, StreamError
 
 
 def _write(first: int, end: int) -> bytes:
@@ -18,15 +18,15 @@
 def test_any_pieces_give_the_same_bytes(sizes: list[int]) -> None:
     """The network cuts a stream anywhere, also in the middle of an event."""
     stream = _write(1, 12)
-    cutter = EventCutter()
+    cutter = EventSplitter()
     passed = []
     start = 0
     sizes.append(len(stream))
     for size in sizes:
-        passed.append(cutter.cut(stream[start : start + size]))
+        passed.append(cutter.feed(stream[start : start + size]))
         start += size
     assert b''.join(passed) == stream
-    assert not cutter.torn
+    assert not cutter.has_partial
 
 
 @given(st.integers(0, 300), st.integers(0, 3))
@@ -37,22 +37,22 @@
     client sees each event once, and nothing of the torn one.
     """
     stream = _write(1, 20)
-    cutter = EventCutter()
-    passed = cutter.cut(stream[: min(at, len(stream))])
-    cutter.restart()
+    cutter = EventSplitter()
+    passed = cutter.feed(stream[: min(at, len(stream))])
+    cutter.discard_partial()
     again = max(1, (cutter.last or 0) + 1 - repeated)
-    passed += cutter.cut(_write(again, 20))
+    passed += cutter.feed(_write(again, 20))
     assert passed == stream
 
 
 def test_missing_event_is_an_error() -> None:
     """The second replica skips an event; the client must not miss it."""
-    cutter = EventCutter()
-    cutter.cut(_write(1, 4))
+    cutter = EventSplitter()
+    cutter.feed(_write(1, 4))
     with pytest.raises(StreamError, match='5 came after 3'):
-        cutter.cut(_write(5, 6))
+        cutter.feed(_write(5, 6))
 
 
 def test_client_that_resumes_gets_what_follows() -> None:
-    cutter = EventCutter(last=3)
-    assert cutter.cut(_write(1, 6)) == _write(4, 6)
+    cutter = EventSplitter(last=3)
+    assert cutter.feed(_write(1, 6)) == _write(4, 6)
--- a/tests/core/throttle/test_bucket.py
+++ b/tests/core/throttle/test_bucket.py
@@ -76,7 +76,7 @@
     assert _take_all(bucket, 60) == 1
 
 
-def test_clock_that_steps_back_deals_nothing() -> None:
+def test_clock_that_steps_back_grants_nothing() -> None:
     bucket = TokenBucket(1, now=100)
     assert _take_all(bucket, 50) == 1
     assert not bucket.take(100)
--- a/tests/core/throttle/test_limiters.py
+++ b/tests/core/throttle/test_limiters.py
@@ -40,5 +40,5 @@
     assert len(moved) < 30
 
 
-def test_node_without_address_deals_nothing() -> None:
+def test_node_without_address_grants_nothing() -> None:
     assert not rank_limiters('b-0', [NodeEntry('node-0', 'zone-a')])
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -11,16 +11,16 @@
     Stage,
 )
 
-USUAL = ModelProfile(
+TYPICAL_MODEL = ModelProfile(
     layers=80,
     layer_mb=1750,
-    cache_mb=0.01475,
+    kv_cache_mb=0.01475,
     step_ms=1.02,
-    writer_ms=0.0092,
-    read_per_ms=164,
+    sequence_ms=0.0092,
+    prefill_tokens_per_ms=164,
     load_seconds=14,
-    usual_prompt=775,
-    usual_answer=216,
+    typical_prompt=775,
+    typical_answer=216,
     accelerators={
         'a100': Accelerator(72_000, 2.4, 3.2),
         'v100': Accelerator(14_400, 5.3, 7.9),
@@ -64,7 +64,7 @@
     """Ask for a path for a usual request."""
     chance = random.Random(seed)
     fields: dict[str, object] = {
-        'profile': USUAL,
+        'profile': TYPICAL_MODEL,
         'zone': 'zone-a',
         'prompt': 775,
         'answer': 216,
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -12,9 +12,9 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica
 from ryelatch_core.kernel import BootClock, Hub
-from ryelatch_core.membership import NEVER, Lease, reckon_terms
+from ryelatch_core.membership import NEVER, Lease, compute_departure_bounds
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty import LeaseKeeper, PlacementDuty
+from ryelatch_node.duty import LeaseManager, PlacementController
 from ryelatch_node.ports import (
     LeaseRecord,
     LeaseStore,
@@ -42,7 +42,7 @@
         default_factory=lambda: LeaseRecord(None, 0)
     )
     orders: list[tuple[str, str, int]] = dataclasses.field(default_factory=list)
-    duties: list[PlacementDuty] = dataclasses.field(default_factory=list)
+    controllers: list[PlacementController] = dataclasses.field(default_factory=list)
     lose_writes: bool = False
 
     async def write(self, lease: Lease, revision: int) -> LeaseRecord | None:
@@ -52,41 +52,41 @@
         if revision != self.record.revision:
             return self.record
         self.record = LeaseRecord(lease, revision + 1, revision)
-        for duty in self.duties:
-            duty.lease.follow(self.record)
+        for controller in self.controllers:
+            controller.lease.apply_record(self.record)
         return self.record
 
-    def add_node(self, name: str, spread: float) -> PlacementDuty:
+    def add_node(self, name: str, spread: float) -> PlacementController:
         """Make the duty of one more node."""
         clock = BootClock()
         log = LineLog(name, clock, len)
         configuration = ConfigurationView(log, clock, 5)
         raw = _encode(make_configuration())
         configuration.offer(translate_configuration(raw), clock.monotonic())
-        view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+        view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
         orders = Orders(
             place=self._make_place(name),
             move=_refuse,
             read_report=_report,
             reach=_refuse,
         )
-        duty = PlacementDuty(
+        controller = PlacementController(
             log=log,
             clock=clock,
             configuration=configuration,
             replicas=view,
             orders=orders,
-            lease=LeaseKeeper(log, clock, LeaseStore(self.write), spread, name),
+            lease=LeaseManager(log, clock, LeaseStore(self.write), spread, name),
         )
-        duty.lease.follow(self.record)
-        self.duties.append(duty)
-        return duty
+        controller.lease.apply_record(self.record)
+        self.controllers.append(controller)
+        return controller
 
     def list_replicas(self, replicas: list[Replica]) -> None:
         """Give all nodes a list."""
-        for duty in self.duties:
-            duty.replicas.replace(replicas, unanswered=NEVER)
-            duty.wake(None)  # type: ignore[arg-type]
+        for controller in self.controllers:
+            controller.replicas.replace(replicas, unanswered=NEVER)
+            controller.wake(None)  # type: ignore[arg-type]
 
     def _make_place(self, name: str) -> Callable[..., Any]:
         async def place(
@@ -102,8 +102,8 @@
         return place
 
     def _finish(self, replica: Replica) -> None:
-        for duty in self.duties:
-            duty.replicas.put(replica)
+        for controller in self.controllers:
+            controller.replicas.put(replica)
 
 
 def _encode(configuration: dict[str, Any]) -> StoredObject:
@@ -128,10 +128,10 @@
     """Run the duty of some nodes."""
     for number in range(count):
         platform.add_node(f'node-{number}', spread=0.1 + number * 0.1)
-    for duty in platform.duties:
-        await duty.start()
+    for controller in platform.controllers:
+        await controller.start()
     try:
         yield
     finally:
-        for duty in platform.duties:
-            await duty.stop()
+        for controller in platform.controllers:
+            await controller.stop()
--- a/tests/node/beliefs/test_roster.py
+++ b/tests/node/beliefs/test_roster.py
@@ -8,7 +8,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 
 _CHANGES = 20
@@ -26,7 +26,7 @@
     """Count the calls of functions as some entries change and others go."""
     clock = FakeClock()
     log = LineLog('node', clock, len)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     view.replace(
         (_make_replica(number) for number in range(fleet)), unanswered=-1e9
     )
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/duty/test_placement.py
@@ -114,7 +114,7 @@
     """
     platform = FakePlatform()
     async with run_nodes(platform, 1):
-        duty = platform.duties[0]
+        duty = platform.controllers[0]
         await wait_until(lambda: duty.lease.holder)
         write = platform.write
 
@@ -123,7 +123,7 @@
         ) -> LeaseRecord | None:
             written = await write(lease, revision)
             other = LeaseRecord(Lease('other', 9), revision + 2, revision + 1)
-            asyncio.get_running_loop().call_soon(duty.lease.follow, other)
+            asyncio.get_running_loop().call_soon(duty.lease.apply_record, other)
             return written
 
         duty.lease.store = LeaseStore(write_and_lose)
@@ -217,7 +217,7 @@
     platform = FakePlatform(load_seconds=2.5)
     gap = [make_replica('m-0', LayerRange(0, 4)), make_replica('m-1', None)]
     async with run_nodes(platform, 2):
-        first, second = platform.duties
+        first, second = platform.controllers
         second.replicas.replace([], unanswered=NEVER)
         first.replicas.replace(gap, unanswered=NEVER)
         first.wake(None)  # type: ignore[arg-type]
--- a/tests/node/relay/test_budget.py
+++ b/tests/node/relay/test_budget.py
@@ -2,12 +2,12 @@
 
 from ryelatch_core.retries import RetryBudget
 from ryelatch_node.relay._budget import (
-    RetryTerms,
-    open_budget,
-    share_budget,
+    RetryAllowance,
+    make_budget,
+    resize_budget,
 )
 
-_TERMS = RetryTerms(ratio=0.2, extra=300, window=10)
+_TERMS = RetryAllowance(ratio=0.2, extra=300, window=10)
 
 
 def _spend_all(budget: RetryBudget) -> int:
@@ -32,25 +32,25 @@
     """
     spent = 0
     for _ in range(60):
-        before = open_budget(_TERMS)
-        share_budget(before, _TERMS, 60)
+        before = make_budget(_TERMS)
+        resize_budget(before, _TERMS, 60)
         spent += _spend_all(before)
-        after = open_budget(_TERMS)
+        after = make_budget(_TERMS)
         spent += _spend_all(after)
-        share_budget(after, _TERMS, 60)
+        resize_budget(after, _TERMS, 60)
         spent += _spend_all(after)
     assert spent <= _TERMS.extra
 
 
 def test_long_outage_stays_within_bounds() -> None:
     """Eight nodes retry all that they may for several windows."""
-    budgets = [open_budget(_TERMS) for _ in range(8)]
+    budgets = [make_budget(_TERMS) for _ in range(8)]
     seconds = 40
     requests = 25
     spent = 0
     for _ in range(seconds):
         for budget in budgets:
-            share_budget(budget, _TERMS, 8)
+            resize_budget(budget, _TERMS, 8)
             budget.refill(1)
             spent += _serve(budget, requests)
     windows = seconds / _TERMS.window
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_evacuation.py
@@ -9,9 +9,9 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.relay._evacuation import LEAVING_SECONDS, Evacuation
+from ryelatch_node.relay._evacuation import LEAVING_SECONDS, MigrationPlanner
 from ryelatch_node.relay._stream import LiveStream
 
 
@@ -30,31 +30,31 @@
     )
 
 
-def _play(heard_after: float) -> tuple[Evacuation, Any, FakeClock]:
+def _play(heard_after: float) -> tuple[MigrationPlanner, Any, FakeClock]:
     """Let a replica say that it leaves, and a node hear of it late."""
     clock = FakeClock()
     view = ReplicaView(
-        LineLog('node-a', clock, len), clock, Hub(), reckon_terms(2, 3)
+        LineLog('node-a', clock, len), clock, Hub(), compute_departure_bounds(2, 3)
     )
     view.put(_make('m-1'))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     clock.now += heard_after
     view.put(_make('m-1', leaving=True))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     path = tuple(
         Stage(_make(name), LayerRange(0, 4)) for name in ('m-0', 'm-1')
     )
-    stream = SimpleNamespace(begun=True, tries=0, tried=0.0, path=path)
-    return Evacuation(view), stream, clock
+    stream = SimpleNamespace(begun=True, move_attempts=0, last_move_attempt=0.0, path=path)
+    return MigrationPlanner(view), stream, clock
 
 
 def test_streams_are_let_be_at_first() -> None:
     """Most answers end by themselves, and each move has its price."""
     evacuation, stream, clock = _play(heard_after=0.1)
-    assert not evacuation.find_due(stream, clock.now)
-    assert not evacuation.find_due(stream, clock.now + LEAVING_SECONDS)
+    assert not evacuation.find_replicas_to_leave(stream, clock.now)
+    assert not evacuation.find_replicas_to_leave(stream, clock.now + LEAVING_SECONDS)
     late = clock.now + LEAVING_SECONDS + 0.4
-    assert evacuation.find_due(stream, late) == {'m-1'}
+    assert evacuation.find_replicas_to_leave(stream, late) == {'m-1'}
 
 
 def test_late_word_leaves_less_time() -> None:
@@ -64,11 +64,11 @@
     the replica ended under them: callers saw a pause, and some a cut.
     """
     evacuation, stream, clock = _play(heard_after=1.4)
-    assert not evacuation.find_due(stream, clock.now)
-    assert evacuation.find_due(stream, clock.now + 0.15) == {'m-1'}
+    assert not evacuation.find_replicas_to_leave(stream, clock.now)
+    assert evacuation.find_replicas_to_leave(stream, clock.now + 0.15) == {'m-1'}
 
 
-async def test_stream_that_crosses_may_go_on_to() -> None:
+async def test_stream_may_cross_zones_again() -> None:
     """Its zone has a gap, which the replica it holds up is to close."""
     near, far = _make('m-0'), replace(_make('m-1'), zone='zone-b')
     paths = {
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -9,10 +9,10 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 from ryelatch_node.ports import Reach, Report
-from ryelatch_node.relay._stream import HEAD_LOST
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST
 from ryelatch_node.relay._watch import StreamWatch
 from virtual.loop import VirtualClock, VirtualLoop, run
 
@@ -44,20 +44,20 @@
         await asyncio.sleep(0.001)
         return Reach.LISTENS
 
-    async def take(_: Replica) -> bool:
+    async def acquire_permit(_: Replica) -> bool:
         return True
 
     clock = VirtualClock()
     log = LineLog('node-a', clock, len)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     view.put(_HEAD)
-    parts: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         clock=clock,
         log=log,
         replicas=view,
         orders=SimpleNamespace(read_report=read_report, reach=reach),
         budget=SimpleNamespace(left=0),
-        throttle=SimpleNamespace(take=take),
+        throttle=SimpleNamespace(acquire_permit=acquire_permit),
         paces=SimpleNamespace(
             check=lambda _: None, stop=lambda: asyncio.sleep(0)
         ),
@@ -74,9 +74,9 @@
         reason='',
         told=True,
         progress=clock.monotonic(),
-        tries=0,
-        tried=0.0,
-        inquiry=SimpleNamespace(
+        move_attempts=0,
+        last_move_attempt=0.0,
+        request=SimpleNamespace(
             repeatable=True,
             terms=SimpleNamespace(identity='r-1'),
             route=SimpleNamespace(gap=0),
@@ -84,7 +84,7 @@
         uses=lambda names: _HEAD.name in names,
         interrupt=interrupted.append,
     )
-    watch = StreamWatch(parts, prober)
+    watch = StreamWatch(context, prober)
     watch.streams.add(stream)  # type: ignore[arg-type]
     return watch, interrupted
 
@@ -112,7 +112,7 @@
         await asyncio.sleep(1)
         await watch.stop()
         assert not interrupted
-        assert not watch.parts.replicas.list_suspects()
+        assert not watch.context.replicas.list_suspects()
 
     run(play())
 
@@ -127,6 +127,6 @@
         _stand_still(1)
         await asyncio.sleep(1.2)
         await watch.stop()
-        assert HEAD_LOST in interrupted
+        assert FIRST_REPLICA_LOST in interrupted
 
     run(play())
--- a/tests/node/relay/test_silence.py
+++ b/tests/node/relay/test_silence.py
@@ -12,7 +12,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import reckon_terms
+from ryelatch_core.membership import compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
 from ryelatch_node.ports import Reach
 from ryelatch_node.relay._silence import (
@@ -60,16 +60,16 @@
 
     clock = VirtualClock()
     log = LineLog('node-a', clock, len)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     for stage in _STAGES:
         view.put(stage.replica)
-    parts: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         clock=clock,
         log=log,
         replicas=view,
         orders=SimpleNamespace(reach=reach),
     )
-    return PathChecks(parts), view
+    return PathChecks(context), view
 
 
 def _play(answer: _Answer, *, late: float = 0) -> set[str]:
--- a/tests/node/relay/test_windows.py
+++ b/tests/node/relay/test_windows.py
@@ -6,17 +6,17 @@
 from typing import Any, cast
 
 from core_fleet import make_replica
-from ryelatch_core.fleet import LayerRange, LoadBook, Stage, Windows
-from ryelatch_node.relay._progress import note_progress
+from ryelatch_core.fleet import LayerRange, LoadTracker, Stage, ConcurrencyWindows
+from ryelatch_node.relay._progress import record_progress
 from ryelatch_node.relay._stream import LiveStream
 
 
 def _make_stream() -> LiveStream:
     head = make_replica('head', 0, 80)
-    inquiry = SimpleNamespace(route=SimpleNamespace(objective=0.5), arrived=0.0)
+    request = SimpleNamespace(route=SimpleNamespace(objective=0.5), arrived=0.0)
     return LiveStream(
         cast(Any, SimpleNamespace(ran=0, detail={})),
-        cast(Any, inquiry),
+        cast(Any, request),
         (Stage(head, LayerRange(0, 80)),),
         sent=0,
         progress=0,
@@ -25,22 +25,22 @@
     )
 
 
-def _make_parts() -> Any:
-    windows = Windows(random.Random(1).random)
+def _make_context() -> Any:
+    windows = ConcurrencyWindows(random.Random(1).random)
     for _ in range(10):
         windows.add('head')
     return SimpleNamespace(
         clock=SimpleNamespace(monotonic=lambda: 1.0),
-        load=LoadBook(),
+        load=LoadTracker(),
         windows=windows,
         paces=SimpleNamespace(check=lambda _: None),
     )
 
 
 async def test_late_first_event_shrinks_a_window() -> None:
-    parts = _make_parts()
-    note_progress(parts, _make_stream())
-    assert parts.windows.read_limit('head') < 10
+    context = _make_context()
+    record_progress(context, _make_stream())
+    assert context.windows.read_limit('head') < 10
 
 
 async def test_loss_on_the_way_leaves_the_window() -> None:
@@ -49,8 +49,8 @@
     The first event is late for that. Taken for a full first replica, the
     zones that were left got smaller windows just when they had to serve all.
     """
-    parts = _make_parts()
+    context = _make_context()
     stream = _make_stream()
-    stream.hindered = True
-    note_progress(parts, stream)
-    assert parts.windows.read_limit('head') > 10
+    stream.delayed_by_loss = True
+    record_progress(context, stream)
+    assert context.windows.read_limit('head') > 10
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryelatch_core.membership import SEND_SECONDS
+from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
 from virtual.loop import VirtualLoop, run
 from virtual.store import Trouble
 from virtual.world import World
@@ -42,7 +42,7 @@
     :param exempt: nodes that something has been done to.
     """
     world.leave(name)
-    await asyncio.sleep(world.drain - SEND_SECONDS)
+    await asyncio.sleep(world.drain - CONNECT_TIMEOUT_SECONDS)
     offering = {one.name for one in world.nodes.values() if one.offers(name)}
     assert not offering - set(exempt)
 
@@ -246,7 +246,7 @@
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        known = world.nodes['node-a'].view.known
+        known = world.nodes['node-a'].view.freshness
         draw = random.Random(7)
         for _ in itertools.repeat(None, 300):
             await asyncio.sleep(draw.uniform(0, 0.3))
--- a/tests/platform/test_moves.py
+++ b/tests/platform/test_moves.py
@@ -212,7 +212,7 @@
     model = make_model((0, 4), (4, 8), (0, 8))
     model[2].zone = 'zone-b'
     async with run_node(model) as node:
-        budget = node.app.find('streams', StreamWatch).parts.budget
+        budget = node.app.find('streams', StreamWatch).context.budget
         replicas = list(node.replicas.values())
         for replica in replicas:
             replica.stall_after = 2
@@ -239,6 +239,6 @@
             streams = node.app.find('streams', StreamWatch).streams
             stream = next(iter(streams))
             await response.read()
-        await wait_until(lambda: stream.over)
+        await wait_until(lambda: stream.finished)
         stream.interrupt('no path')
         assert not stream.reason
--- a/tests/platform/test_quarantine_reach.py
+++ b/tests/platform/test_quarantine_reach.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ryelatch_core.quarantine import Manner
+from ryelatch_core.quarantine import RequestPhase
 from ryelatch_platform._quarantine import QUARANTINE_KIND
 from virtual.loop import run
 from virtual.store import Trouble
@@ -49,8 +49,8 @@
 def _see_ends(world: World, names: Iterable[str]) -> None:
     """Let nodes see an end each."""
     for number, name in enumerate(names):
-        world.nodes[name].quarantine.note_end(
-            _DIGEST, f'r-{number}', Manner.BEGUN, 'c-1'
+        world.nodes[name].quarantine.record_crash(
+            _DIGEST, f'r-{number}', RequestPhase.BEGUN, 'c-1'
         )
 
 
@@ -88,8 +88,8 @@
         world = await _start(fleet)
         for number, name in enumerate(('node-01', 'node-02', 'node-03')):
             node = world.nodes[name]
-            node.quarantine.note_end(
-                _DIGEST, f'r-{number}', Manner.BEGUN, 'c-1'
+            node.quarantine.record_crash(
+                _DIGEST, f'r-{number}', RequestPhase.BEGUN, 'c-1'
             )
             await asyncio.sleep(1)
         assert not _list_sending(world)
@@ -130,8 +130,8 @@
         _see_ends(world, ('node-01', 'node-02'))
         await asyncio.sleep(0.5)
         world.store.forget_history()
-        world.nodes['node-04'].quarantine.note_end(
-            _DIGEST, 'r-9', Manner.BEGUN, 'c-1'
+        world.nodes['node-04'].quarantine.record_crash(
+            _DIGEST, 'r-9', RequestPhase.BEGUN, 'c-1'
         )
         await asyncio.sleep(fleet.touch)
         assert not _list_sending(world)
@@ -173,10 +173,10 @@
         before = len(world.store.calls)
         for number, node in enumerate(world.nodes.values()):
             digest = f'{number:016x}'
-            node.quarantine.note_end(digest, 'r-1', Manner.BEGUN, 'c-1')
+            node.quarantine.record_crash(digest, 'r-1', RequestPhase.BEGUN, 'c-1')
         await asyncio.sleep(0.2)
         for number, node in enumerate(world.nodes.values()):
-            node.quarantine.note_run(f'{number:016x}')
+            node.quarantine.record_run(f'{number:016x}')
         await asyncio.sleep(1)
         paths = [path for _, _, path in world.store.calls[before:]]
         assert not any(map(_changes_an_object, paths))
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -11,9 +11,9 @@
 from fleet.running import ask, expect_events, make_model, run_node, wait_until
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock, Hub
-from ryelatch_core.membership import NEVER, reckon_terms
+from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.news import Change, Heard
+from ryelatch_node.news import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
 from ryelatch_platform._registry import Registry
@@ -51,7 +51,7 @@
 
     clock = BootClock()
     log = LineLog('node-a', clock, write)
-    view = ReplicaView(log, clock, Hub(), reckon_terms(2, 3))
+    view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
     return Registry(log, view), view, lines
 
 
@@ -155,7 +155,7 @@
         {'events': [{'object': one} for one in entries], 'at': 3}
     ).encode()
     events = msgspec.json.decode(raw, type=Changes).events
-    heard = Heard(
+    heard = StoreUpdate(
         3, 0, tuple(Change(bytes(one.found), False) for one in events)
     )
     read = [found.metadata.name for found, _ in read_changes(heard)]
