--- a/packages/ryelatch-node/src/ryelatch_node/config/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/_service.py
@@ -1,4 +1,4 @@
-"""Holds the settings in force and follows newer revisions."""
+"""The service ``settings``: holds the settings and applies revisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_core.settings import (
     ROOT_KEY,
-    AccountDirectory,
     Bundle,
+    AccountDirectory,
     Index,
     Settings,
     blob_key,
@@ -23,12 +23,15 @@
 
 WATCH_SECONDS = 3.0
 RETRY_SECONDS = 0.5
-POLL_SECONDS = 15.0
+POLL_INTERVAL_SECONDS = 15.0
 
 
 @dataclass(frozen=True)
 class SettingsApplied:
-    """A revision is in force on this node."""
+    """Emitted when a revision has come into force on this node.
+
+    :param source: ``store``, or the name of the peer that sent it.
+    """
 
     bundle: Bundle
     source: str
@@ -37,8 +40,11 @@
 class SettingsHolder:
     """The settings in force.
 
+    :param previous: the revision in force before the current one.
     :param should_watch: whether this node is one of those in its
-        availability zone that watch the store; the others hear from peers.
+        availability zone that watch the store; the others receive revisions
+        from peers.
+    :param confirmed: whether the store has been read since the start.
     """
 
     def __init__(self, app: App, timeline: Timeline) -> None:
@@ -55,22 +61,23 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 before any is known."""
+        """Number of the revision in force; 0 if there is none yet."""
         return self.bundle.index.revision
 
     async def start(self) -> None:
-        """Read the store once, then follow it."""
-        await self._read_store()
+        """Read the store once, then watch or poll it."""
+        await self._read_root()
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop watching and polling."""
         await cancel_task(self._task)
 
     def apply(self, bundle: Bundle, source: str) -> bool:
-        """Put a revision in force, whole or not at all, if it is newer.
+        """Put a newer revision in force, if it is complete and valid.
 
         :param source: ``store``, or the name of the peer that sent it.
+        :returns: whether it is in force now.
         """
         revision = bundle.index.revision
         if not should_apply(self.revision, revision):
@@ -104,29 +111,29 @@
         store = self._app.find('store', Store)
         while True:
             if not self.should_watch():
-                await self._wait_poll()
-                await self._read_store()
+                await self._wait_for_poll()
+                await self._read_root()
                 continue
             version = self._version or '0'
             found = await store.watch(ROOT_KEY, version, WATCH_SECONDS)
             if found.is_ok():
-                await self._take_root(found.unwrap())
+                await self._apply_root(found.unwrap())
             elif found.unwrap_err() is not StoreError.UNCHANGED:
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _wait_poll(self) -> None:
+    async def _wait_for_poll(self) -> None:
         """Wait for the next poll, or until this node has to watch."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + POLL_SECONDS
+        due = loop.time() + POLL_INTERVAL_SECONDS
         while loop.time() < due and not self.should_watch():
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def _read_store(self) -> None:
+    async def _read_root(self) -> None:
         found = await self._app.find('store', Store).get(ROOT_KEY)
         if found.is_ok():
-            await self._take_root(found.unwrap())
+            await self._apply_root(found.unwrap())
 
-    async def _take_root(self, entry: Entry) -> None:
+    async def _apply_root(self, entry: Entry) -> None:
         try:
             index = msgspec.msgpack.decode(entry.body, type=Index)
         except msgspec.MsgspecError:
@@ -137,13 +144,16 @@
         if not should_apply(self.revision, index.revision):
             self._version = entry.version
             return
-        bundle = await self._fetch(index)
+        bundle = await self._fetch_bundle(index)
         if bundle is not None:
             self._version = entry.version
             self.apply(bundle, 'store')
 
-    async def _fetch(self, index: Index) -> Bundle | None:
-        """Fetch the parts that this node does not hold yet."""
+    async def _fetch_bundle(self, index: Index) -> Bundle | None:
+        """Fetch the parts that this node lacks, and make the bundle.
+
+        :returns: nothing if a part can't be read.
+        """
         store = self._app.find('store', Store)
         blobs: dict[str, bytes] = {}
         for digest in set(index.parts.values()):
--- a/packages/ryelatch-node/src/ryelatch_node/store/_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_client.py
@@ -1,4 +1,4 @@
-"""Client of the object API: versions, conditional updates, watches."""
+"""Client of the object store: versions, conditional writes, watches."""
 
 import asyncio
 import enum
@@ -15,33 +15,33 @@
 from ryelatch_core.membership import Vm
 from ryelatch_core.settings import Platform
 
-_MAX_ANSWER = 4_194_304
-_LONGEST_WATCH = 5.0
+_MAX_RESPONSE_BYTES = 4_194_304
+_MAX_WATCH_SECONDS = 5.0
 
 _Decoded = TypeVar('_Decoded')
 
 
 class StoreError(enum.Enum):
-    """Why a call did not do what was asked."""
+    """Why a call to the store failed."""
 
     MISSING = 'missing'
     """There is no such object."""
 
     CONFLICT = 'conflict'
-    """The object is not in the version that the write demands."""
+    """The object doesn't have the version that the write requires."""
 
     OUT = 'out'
-    """No answer; a write may have taken effect all the same."""
+    """The store did not respond; a write may still have taken effect."""
 
     UNCHANGED = 'unchanged'
-    """A watch ended without a change."""
+    """A watch ended without a change, or a list hasn't changed."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """An object as read.
+    """A stored object.
 
-    :param version: grows with each write of the object.
+    :param version: version of the object, which each write increases.
     """
 
     body: bytes
@@ -57,24 +57,24 @@
 )
 
 
-def _ignore(*, answered: bool) -> None:
-    """Take note of nothing."""
+def _ignore_result(*, answered: bool) -> None:
+    """Ignore whether the store responded."""
 
 
 class Store:
-    """Calls to the platform.
+    """Calls to the platform's object store.
 
-    :param platform: where it is and how long one call may take.
-    :param note: told after each call whether the platform answered.
+    :param platform: its address, and the timeout of a call.
+    :param on_call: called after each call with whether the store responded.
     """
 
     def __init__(
         self,
         platform: Platform,
-        note: Callable[..., None] = _ignore,
+        on_call: Callable[..., None] = _ignore_result,
     ) -> None:
         self._platform = platform
-        self._note = note
+        self._on_call = on_call
         self._session: aiohttp.ClientSession | None = None
         self._retiring: dict[aiohttp.ClientSession, asyncio.Task[None]] = {}
         self._list: list[Vm] = []
@@ -98,15 +98,16 @@
         after: str,
         wait: float,
     ) -> Result[Entry, StoreError]:
-        """Wait until an object has another version than the one known.
+        """Wait until an object has another version than a known one.
 
-        :param wait: seconds after which the platform answers anyway.
+        :param after: the known version.
+        :param wait: seconds after which the store responds in any case.
         """
         path = f'watch/{key}?after={after}&wait={wait}'
-        return await self._call('GET', path, patience=wait)
+        return await self._call('GET', path, extra_wait=wait)
 
     async def create(self, key: str, body: bytes) -> Result[Entry, StoreError]:
-        """Create an object if there is none."""
+        """Create an object if it doesn't exist."""
         return await self._call(
             'PUT', f'objects/{key}', body, {'If-None-Match': '*'}
         )
@@ -117,19 +118,19 @@
         body: bytes,
         version: str,
     ) -> Result[Entry, StoreError]:
-        """Replace an object that is still in a version."""
+        """Replace an object if it still has the given version."""
         return await self._call(
             'PUT', f'objects/{key}', body, {'If-Match': version}
         )
 
     async def delete(self, key: str, version: str) -> Result[Entry, StoreError]:
-        """Delete an object that is still in a version."""
+        """Delete an object if it still has the given version."""
         return await self._call(
             'DELETE', f'objects/{key}', headers={'If-Match': version}
         )
 
     async def list_vms(self) -> Result[list[Vm], StoreError]:
-        """Read the list of live and leaving VMs; it lags by seconds."""
+        """Read the list of live and leaving VMs; it is seconds old."""
         headers = {'If-None-Match': f'"{self._list_version}"'}
         found = await self._call('GET', 'vms', headers=headers)
         if found.is_err() and found.unwrap_err() is StoreError.UNCHANGED:
@@ -146,9 +147,9 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        patience: float = 0,
+        extra_wait: float = 0,
     ) -> Result[Entry, StoreError]:
-        timeout = aiohttp.ClientTimeout(self._platform.timeout + patience)
+        timeout = aiohttp.ClientTimeout(self._platform.timeout + extra_wait)
         session = self._open()
         try:
             async with session.request(
@@ -158,18 +159,18 @@
                 headers=headers,
                 timeout=timeout,
             ) as response:
-                content = await response.content.read(_MAX_ANSWER)
+                content = await response.content.read(_MAX_RESPONSE_BYTES)
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._replace_session(session)
-            self._note(answered=False)
+            self._on_call(answered=False)
             return Err(StoreError.OUT)
         if response.status in _REASONS:
-            self._note(answered=True)
+            self._on_call(answered=True)
             return Err(_REASONS[HTTPStatus(response.status)])
         if response.status >= HTTPStatus.BAD_REQUEST:
-            self._note(answered=False)
+            self._on_call(answered=False)
             return Err(StoreError.OUT)
-        self._note(answered=True)
+        self._on_call(answered=True)
         version = response.headers.get('ETag', '').strip('"')
         return Ok(Entry(content, version))
 
@@ -180,22 +181,22 @@
             )
         return self._session
 
-    def _replace_session(self, silent: aiohttp.ClientSession) -> None:
-        """Use new connections after one gave no answer.
+    def _replace_session(self, unresponsive: aiohttp.ClientSession) -> None:
+        """Use new connections after a call got no response.
 
-        Something between the ends can lose track of open connections, which
-        then stay silent for good while new ones work. It shows as calls that
-        time out one after the other, each on the next idle connection of the
-        pool. After the first, none of them is used again; calls that still
-        wait on them, such as a watch, come to their own end.
+        A network device can lose the state of open connections, which then
+        never respond again while new ones work. Calls would time out one
+        after the other, each on the next idle connection of the pool. So
+        after the first timeout no call uses the old connections; those that
+        still wait on them, such as a watch, are left to finish.
         """
-        if self._session is silent:
+        if self._session is unresponsive:
             self._session = None
-            task = asyncio.create_task(self._retire(silent))
-            self._retiring[silent] = task
+            task = asyncio.create_task(self._retire(unresponsive))
+            self._retiring[unresponsive] = task
 
     async def _retire(self, session: aiohttp.ClientSession) -> None:
-        await asyncio.sleep(self._platform.timeout + _LONGEST_WATCH)
+        await asyncio.sleep(self._platform.timeout + _MAX_WATCH_SECONDS)
         await session.close()
         del self._retiring[session]
 
@@ -203,7 +204,7 @@
 def _decode_as(
     kind: type[_Decoded],
 ) -> Callable[[Entry], Result[_Decoded, StoreError]]:
-    """Make the step from an answer's body to typed data."""
+    """Make a function that decodes the body of an entry as a type."""
 
     def decode(entry: Entry) -> Result[_Decoded, StoreError]:
         try:
@@ -215,5 +216,5 @@
 
 
 def open_store(platform: Platform) -> Store:
-    """Make a client without a node around it, as for the command line."""
+    """Make a client outside a node, as the command line uses it."""
     return Store(platform)
