--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -11,8 +11,8 @@
     Receipt,
     Step,
     StepKey,
-    split_prompt,
     matches_step,
+    split_prompt,
 )
 from ryelatch_node.upstreams import EngineLink
 
@@ -92,7 +92,7 @@
         return len(self.prompt) + len(self.tokens) if self.sent else 0
 
     @property
-    def ended(self) -> bool:
+    def finished(self) -> bool:
         """Whether the answer is complete or has failed."""
         return self.finish is not None or self.failure is not None
 
@@ -113,7 +113,9 @@
             link.streams += 1
         self._open_steps = {}
         self._known_tokens = (*self.prompt, *self.tokens)
-        self._chunks = split_prompt(len(self._known_tokens), PREFILL_CHUNK_TOKENS)
+        self._chunks = split_prompt(
+            len(self._known_tokens), PREFILL_CHUNK_TOKENS
+        )
         self._send_chunk()
 
     async def read(self) -> list[int]:
@@ -123,7 +125,7 @@
             complete.
         :raises AnswerError: if the answer can't be completed.
         """
-        while self._returned == len(self.tokens) and not self.ended:
+        while self._returned == len(self.tokens) and not self.finished:
             self._progress.clear()
             await self._progress.wait()
         new_tokens = self.tokens[self._returned :]
@@ -183,7 +185,7 @@
         An engine that was paused can respond to a step of an earlier
         attempt; its token would be a second one for the same position.
         """
-        if step.attempt != self.attempt or self.ended:
+        if step.attempt != self.attempt or self.finished:
             return False
         return self._open_steps.pop(step.key, None) is not None
 
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -8,8 +8,8 @@
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_core.outcomes import Failure, Outcome
 from ryelatch_core.pipeline import (
-    Chain,
     Candidate,
+    Chain,
     LatencyTracker,
     check_chain,
     choose_chain,
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Order:
+class GenerationJob:
     """A validated request for an answer of a model.
 
     :param request: identity of the request, unique over all nodes.
@@ -63,7 +63,7 @@
         self._upstreams = upstreams
         self._zone = zone
         self._timeline = app.find('timeline', Timeline)
-        self._jobs: dict[str, Order] = {}
+        self._jobs: dict[str, GenerationJob] = {}
         self._answers: dict[str, Answer] = {}
         self._budget = RetryBudget()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -85,7 +85,7 @@
         """Stop checking for slow engines."""
         await cancel_task(self._task)
 
-    def open(self, job: Order) -> Answer:
+    def open(self, job: GenerationJob) -> Answer:
         """Start an answer; the caller must close it after reading."""
         answer = Answer(
             job.request,
@@ -104,7 +104,7 @@
         """Remove an answer; if it isn't complete, cancel its steps."""
         self._jobs.pop(answer.stream, None)
         self._answers.pop(answer.stream, None)
-        if not answer.ended:
+        if not answer.finished:
             answer.fail(self._make_failure(answer, 'caller-gone'))
 
     def _make_failure(self, answer: Answer, code: str) -> Failure:
@@ -118,7 +118,7 @@
         return Failure(
             HTTPStatus.SERVICE_UNAVAILABLE,
             code,
-            'The model is not available now; try again later.',
+            'The model can not answer now; ask again later.',
             Outcome.UNKNOWN if answer.sent else Outcome.NOT_RUN,
             RETRY_AFTER_SECONDS + jitter,
             'server_error',
@@ -153,10 +153,10 @@
         self, answer: Answer, avoided: frozenset[str]
     ) -> None:
         job = self._jobs.get(answer.stream)
-        if job is None or answer.ended:
+        if job is None or answer.finished:
             return
         chain = await self._wait_for_chain(job, avoided)
-        if answer.ended or answer.stream not in self._jobs:
+        if answer.finished or answer.stream not in self._jobs:
             return
         if chain is None:
             answer.fail(self._make_failure(answer, 'no-chain'))
@@ -172,7 +172,7 @@
 
     async def _wait_for_chain(
         self,
-        job: Order,
+        job: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
         """Find a chain, or wait until engines make one possible.
@@ -200,7 +200,7 @@
 
     def _find_chain(
         self,
-        job: Order,
+        job: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
         links = self._upstreams.list_engines(job.name)
--- a/packages/ryelatch-node/src/ryelatch_node/config/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/config/_service.py
@@ -10,8 +10,8 @@
 from ryelatch_core.kernel import App, Service, cancel_task
 from ryelatch_core.settings import (
     ROOT_KEY,
-    Bundle,
     AccountDirectory,
+    Bundle,
     Index,
     Settings,
     blob_key,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
@@ -9,7 +9,7 @@
 from ryelatch_core.kernel import Clock
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.duty._lease import LeaseManager
-from ryelatch_node.ports import OrderResult, Orders
+from ryelatch_node.ports import CommandResult, ReplicaCommands
 
 LOAD_MARGIN_SECONDS = 2.0
 """Time added to the expected duration of a load before it counts as failed.
@@ -56,7 +56,7 @@
     clock: Clock
     configuration: ConfigurationView
     replicas: ReplicaView
-    orders: Orders
+    commands: ReplicaCommands
     lease: LeaseManager
     _pending: dict[str, _Pending] = field(default_factory=dict)
     _sequences: dict[str, int] = field(default_factory=dict)
@@ -101,40 +101,42 @@
             return replica
         return replace(replica, layers=pending.layers)
 
-    async def send(self, move: Move) -> OrderResult:
+    async def send(self, move: Move) -> CommandResult:
         """Command a replica to hold layers, and record the result."""
         replica = move.replica
         result = await self._send_once(move)
         # Usually another node has sent commands to this replica since.
-        conflict = result is OrderResult.CONFLICT
+        conflict = result is CommandResult.CONFLICT
         if conflict and await self._refresh_sequence(replica):
             result = await self._send_once(move)
         self._handle_result(move, result, self.clock.monotonic())
         return result
 
     async def _check_busy(self, replica: Replica) -> None:
-        report = await self.orders.read_report(replica)
+        report = await self.commands.read_report(replica)
         pending = self._pending.get(replica.name)
         if pending is not None and report is not None and report.busy:
             until = self.clock.monotonic() + BUSY_COOLDOWN_SECONDS
             self._pending[replica.name] = replace(pending, until=until)
 
     def _handle_result(
-        self, move: Move, result: OrderResult, now: float
+        self, move: Move, result: CommandResult, now: float
     ) -> None:
         """Update the state according to the result of a command."""
         replica = move.replica
-        handlers: dict[OrderResult, Callable[[], None]] = {
-            OrderResult.BEGUN: lambda: self._expect_load(move, now),
-            OrderResult.HELD: lambda: self._expect_load(move, now),
-            OrderResult.UNANSWERED: lambda: self._expect_unanswered(move, now),
+        handlers: dict[CommandResult, Callable[[], None]] = {
+            CommandResult.BEGUN: lambda: self._expect_load(move, now),
+            CommandResult.HELD: lambda: self._expect_load(move, now),
+            CommandResult.UNANSWERED: lambda: self._expect_unanswered(
+                move, now
+            ),
             # Further commands would be refused until this node takes the lease
             # again; changes of the lease come from the store.
-            OrderResult.FENCED: self.lease.mark_fenced,
-            OrderResult.CONFLICT: lambda: self._mark_busy(
+            CommandResult.FENCED: self.lease.mark_fenced,
+            CommandResult.CONFLICT: lambda: self._mark_busy(
                 replica, now + BUSY_COOLDOWN_SECONDS
             ),
-            OrderResult.MISSING: lambda: self.replicas.end(replica),
+            CommandResult.MISSING: lambda: self.replicas.end(replica),
         }
         handlers.get(
             result,
@@ -156,19 +158,19 @@
                 replica.layers, until, busy=True
             )
 
-    async def _send_once(self, move: Move) -> OrderResult:
+    async def _send_once(self, move: Move) -> CommandResult:
         fence = self.lease.fence
         if fence is None:
             # Another node has taken the lease since this one renewed it. Its
             # fencing number is higher, and this node must not use it.
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         name = move.replica.name
         sequence = self._sequences.get(name, 0)
-        result = await self.orders.place(
+        result = await self.commands.place(
             move.replica, move.layers, fence, sequence
         )
         self._log_command(move, result, fence, sequence)
-        if result is OrderResult.BEGUN:
+        if result is CommandResult.BEGUN:
             self._sequences[name] = sequence + 1
         return result
 
@@ -186,7 +188,7 @@
 
     async def _refresh_sequence(self, replica: Replica) -> bool:
         """Read a replica's sequence number; return whether it is idle."""
-        report = await self.orders.read_report(replica)
+        report = await self.commands.read_report(replica)
         if report is None:
             return False
         self._sequences[replica.name] = report.sequence
@@ -195,14 +197,14 @@
     def _log_command(
         self,
         move: Move,
-        result: OrderResult,
+        result: CommandResult,
         fence: int,
         sequence: int,
     ) -> None:
         kind = catalogue.ORDER_REFUSED
-        if result in {OrderResult.BEGUN, OrderResult.HELD}:
+        if result in {CommandResult.BEGUN, CommandResult.HELD}:
             kind = catalogue.ORDER_SENT
-        elif result is OrderResult.UNANSWERED:
+        elif result is CommandResult.UNANSWERED:
             kind = catalogue.ORDER_UNANSWERED
         self.log.record(
             kind,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
@@ -26,11 +26,11 @@
 from ryelatch_node.duty._orders import CommandSender
 from ryelatch_node.duty._timing import PlanTiming
 from ryelatch_node.ports import (
+    CommandResult,
     LeaseStore,
-    NodesCounted,
-    OrderResult,
-    Orders,
+    NodeCountChanged,
     RelayStartup,
+    ReplicaCommands,
 )
 
 MIN_PLAN_INTERVAL_SECONDS = 0.05
@@ -87,7 +87,7 @@
     clock: Clock
     configuration: ConfigurationView
     replicas: ReplicaView
-    orders: Orders
+    commands: ReplicaCommands
     lease: LeaseManager
     usage: UsageTracker = field(default_factory=UsageTracker)
     _planned: _PlanInput | None = None
@@ -104,7 +104,7 @@
             self.clock,
             self.configuration,
             self.replicas,
-            self.orders,
+            self.commands,
             self.lease,
         )
 
@@ -122,7 +122,7 @@
         """Check the layers soon, as the view of the replicas has changed."""
         self._wake.set()
 
-    def set_node_count(self, counted: NodesCounted) -> None:
+    def set_node_count(self, counted: NodeCountChanged) -> None:
         """Scale the takeover jitter to the number of nodes."""
         self.lease.nodes = counted.nodes
 
@@ -247,7 +247,7 @@
 
     async def _send_all(self, moves: list[Move]) -> None:
         results = await asyncio.gather(*map(self._commands.send, moves))
-        if OrderResult.FENCED in results:
+        if CommandResult.FENCED in results:
             # Another node sends commands under a higher fencing number. The
             # need counts from now, so that this node waits for its turn again.
             self._timing.need_since = self.clock.monotonic()
@@ -262,7 +262,7 @@
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
-        orders=app.find('orders', Orders),
+        commands=app.find('orders', ReplicaCommands),
         usage=app.find('costs', UsageTracker),
         lease=LeaseManager(
             log=log,
@@ -273,7 +273,7 @@
         ),
     )
     app.hub.connect(ReplicasChanged, controller.wake)
-    app.hub.connect(NodesCounted, controller.set_node_count)
+    app.hub.connect(NodeCountChanged, controller.set_node_count)
     app.add(
         Service(
             'placement',
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
@@ -214,7 +214,9 @@
 
 
 async def _forward(app: App, routed: _RoutedRequest) -> Answer:
-    upstreams = app.find('upstreams', Upstreams).list_plain(routed.service.role)
+    upstreams = app.find('upstreams', Upstreams).list_service_vms(
+        routed.service.role
+    )
     app.random_source.shuffle(upstreams)
     forwarded = await app.find('forwarder', Forwarder).forward(
         routed.call, routed.service, upstreams
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
@@ -175,7 +175,7 @@
             found = await self._store.get(key)
             if found.is_ok():
                 return found.unwrap()
-            if found.unwrap_err() is StoreError.OUT:
+            if found.unwrap_err() is StoreError.UNAVAILABLE:
                 return None
         return None
 
@@ -257,7 +257,10 @@
             written = await self._store.update(
                 claim.key, _encode(record), claim.version
             )
-            if written.is_ok() or written.unwrap_err() is not StoreError.OUT:
+            if (
+                written.is_ok()
+                or written.unwrap_err() is not StoreError.UNAVAILABLE
+            ):
                 self._timeline.record(
                     catalogue.CLAIM_SETTLED, key=claim.key, state=record.state
                 )
--- a/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
@@ -2,48 +2,48 @@
 
 from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
 from ryelatch_node.ports._orders import (
-    Holding,
-    MoveAnswer,
-    OrderResult,
-    Orders,
-    Reach,
+    CommandResult,
+    LoadedLayers,
+    MoveResult,
+    Reachability,
+    ReplicaCommands,
     Report,
 )
-from ryelatch_node.ports._quarantine import QuarantineStore, StepResult
+from ryelatch_node.ports._quarantine import QuarantineStore, StoreWriteResult
 from ryelatch_node.ports._startup import (
     Address,
-    NodesCounted,
+    NodeCountChanged,
     RelayStartup,
     SettingsChanged,
-    keep_fixed,
+    apply_reloadable,
 )
 from ryelatch_node.ports._wire import (
-    AnswerTerms,
+    AnswerMetadata,
     Dispatch,
+    HeaderCodec,
     Headers,
-    RequestTerms,
-    Wire,
+    RequestMetadata,
 )
 
 __all__ = [
     'Address',
-    'AnswerTerms',
+    'AnswerMetadata',
+    'CommandResult',
     'Dispatch',
+    'HeaderCodec',
     'Headers',
-    'Holding',
     'LeaseRecord',
     'LeaseStore',
-    'MoveAnswer',
-    'NodesCounted',
-    'OrderResult',
-    'Orders',
+    'LoadedLayers',
+    'MoveResult',
+    'NodeCountChanged',
     'QuarantineStore',
-    'Reach',
+    'Reachability',
     'RelayStartup',
+    'ReplicaCommands',
     'Report',
-    'RequestTerms',
+    'RequestMetadata',
     'SettingsChanged',
-    'StepResult',
-    'Wire',
-    'keep_fixed',
+    'StoreWriteResult',
+    'apply_reloadable',
 ]
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 
 
-class OrderResult(enum.Enum):
+class CommandResult(enum.Enum):
     """Result of a command to a replica."""
 
     BEGUN = 'begun'
@@ -29,16 +29,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class LoadedLayers:
     """Layers that an engine has loaded, by its own report.
 
     :param layers: nothing if it has none.
-    :param born: start of its current incarnation in milliseconds; 0 if
+    :param started_at: start of its current incarnation in milliseconds; 0 if
         not reported.
     """
 
     layers: LayerRange | None
-    born: int = 0
+    started_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,8 +50,8 @@
     :param used: fraction of its request memory in use.
     :param stalled: addresses of replicas that its requests wait for, by the
         identity of the request.
-    :param holding: nothing if it doesn't report its layers.
-    :param pace: step-time factor, relative to the normal duration of
+    :param loaded: nothing if it doesn't report its layers.
+    :param step_factor: step-time factor, relative to the normal duration of
         passes on its kind of accelerator.
     """
 
@@ -59,23 +59,23 @@
     busy: bool
     used: float
     stalled: dict[str, str]
-    holding: Holding | None = None
-    pace: float = 1
+    loaded: LoadedLayers | None = None
+    step_factor: float = 1
 
 
 @dataclass(frozen=True, slots=True)
-class MoveAnswer:
+class MoveResult:
     """Result of a command to move a request to another path.
 
     :param fault: address of the replica that caused a refusal, if it is
         named.
     """
 
-    result: OrderResult
+    result: CommandResult
     fault: str = ''
 
 
-class Reach(enum.Enum):
+class Reachability(enum.Enum):
     """Whether something listens at a replica's address."""
 
     LISTENS = 'listens'
@@ -87,16 +87,16 @@
 
 
 @dataclass(frozen=True)
-class Orders:
+class ReplicaCommands:
     """Calls to replicas."""
 
-    place: Callable[[Replica, LayerRange, int, int], Awaitable[OrderResult]]
+    place: Callable[[Replica, LayerRange, int, int], Awaitable[CommandResult]]
     """Load layers: replica, layers, fencing number, expected sequence."""
 
-    move: Callable[[Replica, str, tuple[Stage, ...]], Awaitable[MoveAnswer]]
+    move: Callable[[Replica, str, tuple[Stage, ...]], Awaitable[MoveResult]]
     """Move a request: first replica, identity of the request, new path."""
 
     read_report: Callable[[Replica], Awaitable[Report | None]]
 
-    reach: Callable[[Replica], Awaitable[Reach]]
+    reach: Callable[[Replica], Awaitable[Reachability]]
     """Open a connection and close it without sending a request."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
@@ -3,11 +3,11 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine import StoreWrite, StoredCrashes
+from ryelatch_core.quarantine import StoredCrashes, StoreWrite
 
 
 @dataclass(frozen=True, slots=True)
-class StepResult:
+class StoreWriteResult:
     """Result of a write.
 
     :param answered: whether the store responded; otherwise the write may
@@ -28,5 +28,5 @@
     that watches the store.
     """
 
-    carry_out: Callable[[StoreWrite], Awaitable[StepResult]]
+    apply_write: Callable[[StoreWrite], Awaitable[StoreWriteResult]]
     """Create, replace or delete the object, if it is unchanged."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
@@ -75,13 +75,13 @@
 
 
 @dataclass(frozen=True)
-class NodesCounted:
+class NodeCountChanged:
     """Emitted with the number of nodes that are registered in the store."""
 
     nodes: int
 
 
-def keep_fixed(
+def apply_reloadable(
     old: RelayStartup,
     new: RelayStartup,
 ) -> tuple[RelayStartup, tuple[str, ...]]:
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTerms:
+class RequestMetadata:
     """Metadata that a client sends with its request.
 
     :param identity: identity of this attempt of the client.
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerTerms:
+class AnswerMetadata:
     """Metadata that an upstream sends with its answer.
 
     :param identity: identity of the request; empty if not given.
@@ -80,9 +80,9 @@
 
 
 @dataclass(frozen=True)
-class Wire:
+class HeaderCodec:
     """Functions that convert between headers and metadata."""
 
-    read_request: Callable[[Headers], RequestTerms]
+    read_request: Callable[[Headers], RequestMetadata]
     write_request: Callable[[Headers, Dispatch], list[tuple[str, str]]]
-    read_answer: Callable[[int, Headers], AnswerTerms]
+    read_answer: Callable[[int, Headers], AnswerMetadata]
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -162,7 +162,7 @@
 
     async def _perform(self, writes: list[StoreWrite]) -> bool:
         for write in writes:
-            found = await self.store.carry_out(write)
+            found = await self.store.apply_write(write)
             if not found.answered:
                 return False
             if found.stored is None:
--- a/packages/ryelatch-node/src/ryelatch_node/store/_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_client.py
@@ -30,7 +30,7 @@
     CONFLICT = 'conflict'
     """The object doesn't have the version that the write requires."""
 
-    OUT = 'out'
+    UNAVAILABLE = 'out'
     """The store did not respond; a write may still have taken effect."""
 
     UNCHANGED = 'unchanged'
@@ -163,13 +163,13 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._replace_session(session)
             self._on_call(answered=False)
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
         if response.status in _REASONS:
             self._on_call(answered=True)
             return Err(_REASONS[HTTPStatus(response.status)])
         if response.status >= HTTPStatus.BAD_REQUEST:
             self._on_call(answered=False)
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
         self._on_call(answered=True)
         version = response.headers.get('ETag', '').strip('"')
         return Ok(Entry(content, version))
@@ -210,7 +210,7 @@
         try:
             return Ok(msgspec.json.decode(entry.body, type=kind))
         except msgspec.MsgspecError:
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
 
     return decode
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -11,7 +11,7 @@
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import BackoffTracker, ReportedLimit, rank_limiters
 from ryelatch_node.news import PeerSync, PermitReply
-from ryelatch_node.ports import AnswerTerms, RelayStartup
+from ryelatch_node.ports import AnswerMetadata, RelayStartup
 from ryelatch_node.tasks import Tasks
 from ryelatch_node.throttle._limiter import Limiter
 from ryelatch_node.throttle._lines import PermitClient
@@ -76,7 +76,7 @@
         await self._tasks.stop()
         self.permit_client.stop()
 
-    def record_answer(self, replica: Replica, terms: AnswerTerms) -> None:
+    def record_answer(self, replica: Replica, terms: AnswerMetadata) -> None:
         """Record the limit and backoff in a replica's answer."""
         name = replica.name
         self._record_backoff(name, terms.backoff)
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -16,10 +16,10 @@
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.duty import LeaseManager, PlacementController
 from ryelatch_node.ports import (
+    CommandResult,
     LeaseRecord,
     LeaseStore,
-    OrderResult,
-    Orders,
+    ReplicaCommands,
     Report,
 )
 from ryelatch_platform._objects import Metadata, StoredObject
@@ -37,11 +37,13 @@
     """
 
     load_seconds: float = 0.5
-    result: OrderResult = OrderResult.BEGUN
+    result: CommandResult = CommandResult.BEGUN
     record: LeaseRecord = dataclasses.field(
         default_factory=lambda: LeaseRecord(None, 0)
     )
-    orders: list[tuple[str, str, int]] = dataclasses.field(default_factory=list)
+    commands: list[tuple[str, str, int]] = dataclasses.field(
+        default_factory=list
+    )
     controllers: list[PlacementController] = dataclasses.field(
         default_factory=list
     )
@@ -66,7 +68,7 @@
         raw = _encode(make_configuration())
         configuration.offer(translate_configuration(raw), clock.monotonic())
         view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
-        orders = Orders(
+        commands = ReplicaCommands(
             place=self._make_place(name),
             move=_refuse,
             read_report=_report,
@@ -77,7 +79,7 @@
             clock=clock,
             configuration=configuration,
             replicas=view,
-            orders=orders,
+            commands=commands,
             lease=LeaseManager(
                 log, clock, LeaseStore(self.write), spread, name
             ),
@@ -95,9 +97,9 @@
     def _make_place(self, name: str) -> Callable[..., Any]:
         async def place(
             replica: Replica, layers: LayerRange, fence: int, sequence: int
-        ) -> OrderResult:
-            self.orders.append((name, replica.name, fence))
-            if self.result is OrderResult.BEGUN:
+        ) -> CommandResult:
+            self.commands.append((name, replica.name, fence))
+            if self.result is CommandResult.BEGUN:
                 held = dataclasses.replace(replica, layers=layers)
                 loop = asyncio.get_running_loop()
                 loop.call_later(self.load_seconds, self._finish, held)
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/duty/test_turns.py
@@ -83,8 +83,8 @@
                 *(make_replica(f'm-{number}', None) for number in (1, 2, 3)),
             ]
         )
-        await wait_until(lambda: platform.orders, 8)
-    assert platform.orders[0][2] == 8
+        await wait_until(lambda: platform.commands, 8)
+    assert platform.commands[0][2] == 8
 
 
 def test_claims_stay_rare_in_large_fleets() -> None:
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -11,7 +11,7 @@
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.news import PeerSync
-from ryelatch_node.ports import AnswerTerms
+from ryelatch_node.ports import AnswerMetadata
 from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
@@ -110,6 +110,6 @@
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerTerms:
+def make_terms(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
     """Make what an answer says that names a limit."""
-    return AnswerTerms('', signed, not signed, '', False, limit=limit)
+    return AnswerMetadata('', signed, not signed, '', False, limit=limit)
