--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
@@ -14,8 +14,8 @@
     log = app.find('log', LineLog)
     configuration = ConfigurationView(log, app.clock, startup.revoke_seconds)
     app.add(Service('configuration', configuration))
-    terms = compute_departure_bounds(
+    bounds = compute_departure_bounds(
         startup.drain_seconds, startup.steady_seconds
     )
-    replicas = ReplicaView(log, app.clock, app.hub, terms)
+    replicas = ReplicaView(log, app.clock, app.hub, bounds)
     app.add(Service('replicas', replicas))
--- a/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/duty/__init__.py
@@ -1,6 +1,6 @@
 """Work that one node does at a time: which replica holds which layers."""
 
-from ryelatch_node.duty._lease import LeaseKeeper
-from ryelatch_node.duty._service import PlacementDuty, setup
+from ryelatch_node.duty._lease import LeaseManager
+from ryelatch_node.duty._service import PlacementController, setup
 
-__all__ = ['LeaseKeeper', 'PlacementDuty', 'setup']
+__all__ = ['LeaseManager', 'PlacementController', 'setup']
--- a/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
@@ -1,20 +1,20 @@
 """What the store says, by way of peers."""
 
-from ryelatch_node.news._frames import Change, PermitQuestion, PermitReply
-from ryelatch_node.news._line import FAILURES, Line, open_line
-from ryelatch_node.news._memory import Blind, Heard, StoreTrouble
-from ryelatch_node.news._service import News, setup
+from ryelatch_node.news._frames import Change, PermitRequest, PermitReply
+from ryelatch_node.news._line import REQUEST_ERRORS, PeerConnection, connect_to_peer
+from ryelatch_node.news._memory import PeerCutOff, StoreUpdate, StoreHealth
+from ryelatch_node.news._service import PeerSync, setup
 
 __all__ = [
-    'FAILURES',
-    'Blind',
+    'REQUEST_ERRORS',
+    'PeerCutOff',
     'Change',
-    'Heard',
-    'Line',
-    'News',
-    'PermitQuestion',
+    'StoreUpdate',
+    'PeerConnection',
+    'PeerSync',
+    'PermitRequest',
     'PermitReply',
-    'StoreTrouble',
-    'open_line',
+    'StoreHealth',
+    'connect_to_peer',
     'setup',
 ]
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
@@ -78,7 +78,7 @@
         """Find the earliest time at which a leaving replica may stop."""
         since = self.replicas.find_leaving_since(name)
         announced = now if since is None else since
-        return announced + self.replicas.known.terms.bound
+        return announced + self.replicas.freshness.bounds.bound
 
     def _is_due(self, stage: Stage, now: float) -> bool:
         listed = self.replicas.replicas.get(stage.replica.name)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -23,9 +23,9 @@
     """
     if not context.throttle.is_throttled(replica.name):
         return True
-    if await context.throttle.take(replica):
+    if await context.throttle.acquire_permit(replica):
         # The replica may have left while the permit was requested.
-        return context.replicas.offers(replica)
+        return context.replicas.is_available(replica)
     exchange.record(catalogue.PERMIT_DENIED, replica=replica.name)
     return False
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
@@ -208,7 +208,7 @@
         left=round_seconds(left),
         version=request.version,
         load=context.load.requests[replica.name],
-        list_age=round_seconds(context.replicas.known.age),
+        list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(context.replicas.find_missing((replica.name,))),
     )
     last = (
@@ -270,7 +270,7 @@
         failed=failed,
     )
     if not failed:
-        context.replicas.trust(replica)
+        context.replicas.clear_suspicion(replica)
     return _ReceivedAnswer(answer, body)
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -156,7 +156,7 @@
         """Apply settings that changed while this process runs."""
         self._context.startup = changed.startup
         self._context.configuration.set_bound(changed.startup.revoke_seconds)
-        self._context.replicas.known.terms = compute_departure_bounds(
+        self._context.replicas.freshness.bounds = compute_departure_bounds(
             changed.startup.drain_seconds, changed.startup.steady_seconds
         )
         self._apply_budget()
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_evacuation.py
@@ -44,10 +44,10 @@
         compute_departure_bounds(2, 3),
     )
     view.put(_make('m-1'))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     clock.now += delay
     view.put(_make('m-1', leaving=True))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     path = tuple(
         Stage(_make(name), LayerRange(0, 4)) for name in ('m-0', 'm-1')
     )
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -246,7 +246,7 @@
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        known = world.nodes['node-a'].view.known
+        known = world.nodes['node-a'].view.freshness
         draw = random.Random(7)
         for _ in itertools.repeat(None, 300):
             await asyncio.sleep(draw.uniform(0, 0.3))
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -20,7 +20,7 @@
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
 from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_node.news import PeerSync
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
@@ -54,12 +54,12 @@
 
 def _introduce(node: RunningNode, app: App) -> None:
     """Let both know the first one, which watches for others."""
-    address = node.app.find('news', News).address
+    address = node.app.find('news', PeerSync).address
     first = NodeEntry(
         'node-a', 'zone-a', f'{address.host}:{address.port}', 1000
     )
     for each in (node.app, app):
-        each.find('news', News).know([first])
+        each.find('news', PeerSync).update_nodes([first])
 
 
 def _count_watches(node: RunningNode, kind: str) -> int:
@@ -105,7 +105,7 @@
         _run_second(node) as (app, found),
     ):
         await asyncio.sleep(2.5)
-        await node.app.find('news', News).stop()
+        await node.app.find('news', PeerSync).stop()
         node.store.drop('servers', 'b-0')
         replicas = app.find('replicas', ReplicaView)
         await wait_until(lambda: len(replicas.replicas) == 1, 3)
@@ -182,7 +182,7 @@
 async def test_bad_frames_end_a_connection_only() -> None:
     """Something that is no peer connects."""
     async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
-        address = node.app.find('news', News).address
+        address = node.app.find('news', PeerSync).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(junk)
@@ -203,7 +203,7 @@
     async def play() -> None:
         world = World(4.0, 5.0)
         await world.start([f'node-{number}' for number in range(4)])
-        world.nodes['node-0'].news.know([])
+        world.nodes['node-0'].peer_sync.update_nodes([])
         await asyncio.sleep(2)
         before = len(world.store.calls)
         await asyncio.sleep(20)
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -13,7 +13,7 @@
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
 from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.news import Change, Heard
+from ryelatch_node.news import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
 from ryelatch_platform._registry import Registry
@@ -155,7 +155,7 @@
         {'events': [{'object': one} for one in entries], 'at': 3}
     ).encode()
     events = msgspec.json.decode(raw, type=Changes).events
-    heard = Heard(
+    heard = StoreUpdate(
         3, 0, tuple(Change(bytes(one.found), False) for one in events)
     )
     read = [found.metadata.name for found, _ in read_changes(heard)]
