--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -160,8 +160,8 @@
         store = app.find('store', object)
 
         async def fail(*_: Any, **given: Any) -> Any:
-            store.availability.note_out('cut off', 0)  # type: ignore[attr-defined]
-            return Err(StoreFailure.OUT)
+            store.availability.record_unavailable('cut off', 0)  # type: ignore[attr-defined]
+            return Err(StoreFailure.UNAVAILABLE)
 
         monkeypatch.setattr(store, '_call', fail)
         configuration = app.find('configuration', ConfigurationView)
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -16,7 +16,7 @@
 from ryelatch_node.news import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
-from ryelatch_platform._registry import Registry
+from ryelatch_platform._registry import ReplicaRegistry
 
 _ENTRY = {
     'service': 'model',
@@ -42,7 +42,7 @@
 )
 
 
-def _make_registry() -> tuple[Registry, ReplicaView, list[Any]]:
+def _make_registry() -> tuple[ReplicaRegistry, ReplicaView, list[Any]]:
     lines: list[Any] = []
 
     def write(line: bytes) -> int:
@@ -52,7 +52,7 @@
     clock = BootClock()
     log = LineLog('node-a', clock, write)
     view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
-    return Registry(log, view), view, lines
+    return ReplicaRegistry(log, view), view, lines
 
 
 def _make_object(name: str, spec: Any) -> dict[str, Any]:
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -147,7 +147,7 @@
         put=lambda found, known: None,
         remove=lambda name, unanswered: None,
         confirm=lambda known: None,
-        needed=False,
+        required=False,
     )
 
 
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -25,7 +25,7 @@
 )
 from ryelatch_platform._quarantine import make_quarantine_store
 from ryelatch_platform._store import StoreClient
-from ryelatch_platform._waits import ARRIVAL_SECONDS
+from ryelatch_platform._waits import FLEET_START_SECONDS
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 from virtual.store import VirtualStore
@@ -117,7 +117,7 @@
         for node in self.nodes.values():
             node.peer_sync.update_nodes(entries)
             await node.start()
-        await asyncio.sleep(ARRIVAL_SECONDS + 1)
+        await asyncio.sleep(FLEET_START_SECONDS + 1)
 
     async def stop(self) -> None:
         """Stop all nodes."""
