--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -8,8 +8,8 @@
 
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import rank_limiters
-from ryelatch_node.news import PermitRequest
-from ryelatch_node.throttle._lines import PERMIT_TIMEOUT_SECONDS
+from ryelatch_node.peer_sync import PermitRequest
+from ryelatch_node.throttle._permit_client import PERMIT_TIMEOUT_SECONDS
 from virtual.loop import run
 from virtual.throttles import REPLICA, ThrottledFleet, make_terms
 
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ryelatch_core.quarantine import RequestPhase
-from ryelatch_node.news import StoreUpdate
-from ryelatch_node.news._introduction import BootstrapClient
+from ryelatch_node.peer_sync import StoreUpdate
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from ryelatch_platform._kinds import Kind
 from ryelatch_platform._quarantine import QUARANTINE_KIND
 from virtual.loop import run
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -10,7 +10,7 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import PeerSync
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import AnswerMetadata
 from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
