--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -1,6 +1,7 @@
 """Placement of model layers on replicas, and choice of paths through them."""
 
 from ryelatch_core.fleet._accounts import AccountTracker
+from ryelatch_core.fleet._costs import PathQuery
 from ryelatch_core.fleet._durations import DurationTracker
 from ryelatch_core.fleet._failures import FailureTracker
 from ryelatch_core.fleet._first_replicas import rank_first_replicas
@@ -13,7 +14,6 @@
 )
 from ryelatch_core.fleet._plan import lacks_layers, plan_moves
 from ryelatch_core.fleet._pool import Move
-from ryelatch_core.fleet._costs import PathQuery
 from ryelatch_core.fleet._retry_delays import RetryScheduler
 from ryelatch_core.fleet._step_factors import StepFactorTracker
 from ryelatch_core.fleet._suspicion import (
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from ryelatch_core.fleet._pool import Move, fit_pool
 from ryelatch_core.fleet._copy_groups import choose_copy_groups
+from ryelatch_core.fleet._pool import Move, fit_pool
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
 from ryelatch_core.fleet._zones import MIN_HEADROOM
 
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -1,10 +1,6 @@
 """Requests that crash replicas, and how they are recognized and refused."""
 
-from ryelatch_core.quarantine._tracker import (
-    CRASH_WINDOW_SECONDS,
-    CrashTracker,
-    StoreWrite,
-)
+from ryelatch_core.quarantine._causes import CRASH_THRESHOLD
 from ryelatch_core.quarantine._crashes import (
     MAX_INCARNATIONS,
     NO_CRASHES,
@@ -12,8 +8,12 @@
     RequestPhase,
     StoredCrashes,
 )
-from ryelatch_core.quarantine._causes import CRASH_THRESHOLD
 from ryelatch_core.quarantine._digest import digest_request
+from ryelatch_core.quarantine._tracker import (
+    CRASH_WINDOW_SECONDS,
+    CrashTracker,
+    StoreWrite,
+)
 
 __all__ = [
     'CRASH_THRESHOLD',
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_tracker.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_tracker.py
@@ -11,18 +11,18 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelatch_core.quarantine._crashes import (
-    NO_CRASHES,
-    Crashes,
-    RequestPhase,
-    StoredCrashes,
-)
 from ryelatch_core.quarantine._causes import (
     CRASH_THRESHOLD,
     RETENTION_SECONDS,
     list_causes,
 )
 from ryelatch_core.quarantine._crash_state import CrashState
+from ryelatch_core.quarantine._crashes import (
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
+)
 
 CRASH_WINDOW_SECONDS = 0.5
 """Time after its first event in which a request may be the cause of a crash.
--- a/packages/ryelatch-node/src/ryelatch_node/front/_non_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_non_model.py
@@ -19,8 +19,8 @@
 from ryelatch_core.settings import Service as NonModelService
 from ryelatch_node.admission import Admission
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.front._body import read_body
 from ryelatch_node.front._authentication import find_account
+from ryelatch_node.front._body import read_body
 from ryelatch_node.front._errors import CallerError, refuse
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import Endpoint
--- a/packages/ryelatch-node/src/ryelatch_node/main.py
+++ b/packages/ryelatch-node/src/ryelatch_node/main.py
@@ -21,8 +21,8 @@
     config,
     control,
     front,
-    peers,
     non_model,
+    peers,
     store,
     upstreams,
 )
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/__init__.py
@@ -1,13 +1,17 @@
 """Shares the store's changes among nodes, so that few of them watch it."""
 
-from ryelatch_node.peer_sync._frames import Change, PermitReply, PermitRequest
 from ryelatch_node.peer_sync._connection import (
     REQUEST_ERRORS,
     PeerConnection,
     connect_to_peer,
 )
-from ryelatch_node.peer_sync._watch_cache import PeerCutOff, StoreHealth, StoreUpdate
+from ryelatch_node.peer_sync._frames import Change, PermitReply, PermitRequest
 from ryelatch_node.peer_sync._service import PeerSync, setup
+from ryelatch_node.peer_sync._watch_cache import (
+    PeerCutOff,
+    StoreHealth,
+    StoreUpdate,
+)
 
 __all__ = [
     'REQUEST_ERRORS',
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
@@ -9,6 +9,12 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
+from ryelatch_node.peer_sync._connection import (
+    CONNECT_SECONDS,
+    REQUEST_ERRORS,
+    Dial,
+    connect_to_peer,
+)
 from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     BootstrapReply,
@@ -16,12 +22,6 @@
     ListRequest,
     unpack,
 )
-from ryelatch_node.peer_sync._connection import (
-    CONNECT_SECONDS,
-    REQUEST_ERRORS,
-    Dial,
-    connect_to_peer,
-)
 from ryelatch_node.peer_sync._watch_cache import StoreUpdate
 
 LIST_SECONDS = 0.7
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
@@ -16,7 +16,6 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.peer_sync._frames import BootstrapMessage, BootstrapReply
 from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
     REQUEST_ERRORS,
@@ -24,6 +23,7 @@
     PeerConnection,
     connect_to_peer,
 )
+from ryelatch_node.peer_sync._frames import BootstrapMessage, BootstrapReply
 
 BOOTSTRAP_INTERVAL_SECONDS = 0.2
 """Interval of checks whether a node may have started."""
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -11,6 +11,8 @@
 from ryelatch_core.events import UsageTracker
 from ryelatch_core.kernel import Clock, cancel_task
 from ryelatch_core.membership import NEVER
+from ryelatch_node.peer_sync._connection import REQUEST_ERRORS
+from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS
 from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     BootstrapReply,
@@ -23,14 +25,12 @@
     encode,
     read_body,
 )
-from ryelatch_node.peer_sync._connection import REQUEST_ERRORS
 from ryelatch_node.peer_sync._watch_cache import (
     STORE_HEALTHY,
     UNKNOWN_AGE_SECONDS,
     StoreHealth,
     WatchCache,
 )
-from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS
 
 _AnyRequest: TypeAlias = (
     WatchRequest | PermitRequest | BootstrapMessage | ListRequest
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -15,14 +15,8 @@
     shares_watches,
     watches_for_others,
 )
-from ryelatch_node.peer_sync._frames import (
-    Change,
-    WatchReply,
-    WatchRequest,
-    unpack,
-)
-from ryelatch_node.peer_sync._bootstrapper import Bootstrapper
 from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
+from ryelatch_node.peer_sync._bootstrapper import Bootstrapper
 from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
     REQUEST_ERRORS,
@@ -30,13 +24,19 @@
     PeerConnection,
     connect_to_peer,
 )
+from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS, PeerCooldowns
+from ryelatch_node.peer_sync._frames import (
+    Change,
+    WatchReply,
+    WatchRequest,
+    unpack,
+)
+from ryelatch_node.peer_sync._server import PeerServer
 from ryelatch_node.peer_sync._watch_cache import (
     PeerCutOff,
     StoreUpdate,
     WatchCache,
 )
-from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS, PeerCooldowns
-from ryelatch_node.peer_sync._server import PeerServer
 from ryelatch_node.ports import Address, RelayStartup
 
 REPLY_SECONDS = 0.4
--- a/packages/ryelatch-node/src/ryelatch_node/placement/_commands.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_commands.py
@@ -7,9 +7,9 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.fleet import LayerRange, Move, Replica
 from ryelatch_core.kernel import Clock
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.placement._lease import LeaseManager
 from ryelatch_node.ports import CommandResult, ReplicaCommands
+from ryelatch_node.views import ConfigurationView, ReplicaView
 
 LOAD_MARGIN_SECONDS = 2.0
 """Time added to the expected duration of a load before it counts as failed.
--- a/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
@@ -17,13 +17,8 @@
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_node.views import (
-    ConfigurationView,
-    ReplicasChanged,
-    ReplicaView,
-)
-from ryelatch_node.placement._lease import BASE_JITTER_SECONDS, LeaseManager
 from ryelatch_node.placement._commands import CommandSender
+from ryelatch_node.placement._lease import BASE_JITTER_SECONDS, LeaseManager
 from ryelatch_node.placement._timing import PlanTiming
 from ryelatch_node.ports import (
     CommandResult,
@@ -32,6 +27,11 @@
     RelayStartup,
     ReplicaCommands,
 )
+from ryelatch_node.views import (
+    ConfigurationView,
+    ReplicasChanged,
+    ReplicaView,
+)
 
 MIN_PLAN_INTERVAL_SECONDS = 0.05
 """Minimum time between two plans, as changes come in bursts."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
@@ -1,6 +1,5 @@
 """Interfaces between a relaying node and the platform it runs on."""
 
-from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
 from ryelatch_node.ports._commands import (
     CommandResult,
     LoadedLayers,
@@ -9,6 +8,7 @@
     ReplicaCommands,
     Report,
 )
+from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
 from ryelatch_node.ports._quarantine import QuarantineStore, StoreWriteResult
 from ryelatch_node.ports._startup import (
     Address,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -10,8 +10,8 @@
     choose_path,
     rank_first_replicas,
 )
-from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
 from ryelatch_node.relay._progress import Progress
 from ryelatch_node.relay._query import make_path_query
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -17,16 +17,16 @@
     ShutdownState,
     admit,
 )
-from ryelatch_node.relay._initial_sync import InitialSync
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._errors import AnswerBroken, ClientGone
 from ryelatch_node.relay._exchange import (
     AdmittedRequest,
     Exchange,
     round_seconds,
 )
+from ryelatch_node.relay._initial_sync import InitialSync
 from ryelatch_node.relay._metrics import RelayMetrics
 from ryelatch_node.relay._model import relay_model
-from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._non_model import relay_non_model
 from ryelatch_node.relay._watch import StreamWatch
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_node.views import ReplicaView
 from ryelatch_node.relay._stream import LiveStream
+from ryelatch_node.views import ReplicaView
 
 LEAVING_SECONDS = 1.0
 """How long streams stay at a replica after it reported that it leaves.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_non_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_non_model.py
@@ -6,6 +6,7 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Dispatch
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._crashes import UNRESPONSIVE, record_non_model_crash
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 from ryelatch_node.relay._exchange import (
@@ -13,7 +14,6 @@
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._upstream import Answer
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
@@ -1,8 +1,8 @@
 """Builds the queries with which paths for a request are chosen."""
 
 from ryelatch_core.fleet import ModelProfile, PathQuery
-from ryelatch_node.relay._exchange import AdmittedRequest
 from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._exchange import AdmittedRequest
 
 
 def find_profile(context: RelayContext, service: str) -> ModelProfile | None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -23,9 +23,9 @@
     RetryAllowance,
     resize_budget,
 )
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -5,7 +5,6 @@
 from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
 from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
 from ryelatch_node.ports import (
     AnswerMetadata,
@@ -17,14 +16,15 @@
 )
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_node.relay._budget import RetryAllowance, make_budget
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._server import RelayServer
 from ryelatch_node.relay._upstream import AnswerHook, Upstreams
 from ryelatch_node.relay._watch import StreamWatch
 from ryelatch_node.throttle import Throttle
+from ryelatch_node.views import ConfigurationView, ReplicaView
 
 ASSUMED_NODES = 8
 """Number of nodes that is assumed to share the load until they are counted.
--- a/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
@@ -15,11 +15,11 @@
 from ryelatch_core.kernel import Clock, Hub
 from ryelatch_core.membership import DepartureBounds
 from ryelatch_node.views._freshness import Freshness
-from ryelatch_node.views._report_overrides import ReportOverrides
-from ryelatch_node.views._leaving import LeavingIncarnations
 from ryelatch_node.views._incarnations import Incarnations
+from ryelatch_node.views._leaving import LeavingIncarnations
 from ryelatch_node.views._missing import MissingEntries
 from ryelatch_node.views._replica_index import ReplicaIndex
+from ryelatch_node.views._report_overrides import ReportOverrides
 
 _DIGITS = 3
 
--- a/tests/core/quarantine/test_tracker.py
+++ b/tests/core/quarantine/test_tracker.py
@@ -11,6 +11,11 @@
     StoredCrashes,
     StoreWrite,
 )
+from ryelatch_core.quarantine._causes import (
+    FIRST_REFUSAL_SECONDS,
+    RETENTION_SECONDS,
+    SETTLE_SECONDS,
+)
 from ryelatch_core.quarantine._tracker import (
     CLEANUP_DELAY_SECONDS,
     CLEARED_SECONDS,
@@ -19,11 +24,6 @@
     REWRITE_SPREAD_SECONDS,
     SUSPECT_SECONDS,
 )
-from ryelatch_core.quarantine._causes import (
-    FIRST_REFUSAL_SECONDS,
-    RETENTION_SECONDS,
-    SETTLE_SECONDS,
-)
 
 _NOW = 100.0
 _LATER = _NOW + SETTLE_SECONDS
--- a/tests/node/peer_sync/test_bootstrap_client.py
+++ b/tests/node/peer_sync/test_bootstrap_client.py
@@ -7,6 +7,8 @@
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
+from ryelatch_node.peer_sync._bootstrapper import list_successors
 from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     Change,
@@ -15,8 +17,6 @@
     encode,
     pack,
 )
-from ryelatch_node.peer_sync._bootstrapper import list_successors
-from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from virtual.links import open_pair
 from virtual.loop import VirtualClock
 
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -10,10 +10,10 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.views import ReplicaView
 from ryelatch_node.ports import Reachability, Report
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST
 from ryelatch_node.relay._watch import StreamWatch
+from ryelatch_node.views import ReplicaView
 from virtual.loop import VirtualClock, VirtualLoop, run
 
 _HEAD = Replica(
@@ -62,7 +62,7 @@
         commands=SimpleNamespace(read_report=read_report, reach=reach),
         budget=SimpleNamespace(left=0),
         throttle=SimpleNamespace(acquire_permit=acquire_permit),
-        paces=SimpleNamespace(
+        slow_replicas=SimpleNamespace(
             check=lambda _: None, stop=lambda: asyncio.sleep(0)
         ),
     )
--- a/tests/node/relay/test_migration_planner.py
+++ b/tests/node/relay/test_migration_planner.py
@@ -10,9 +10,12 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.views import ReplicaView
-from ryelatch_node.relay._migration_planner import LEAVING_SECONDS, MigrationPlanner
+from ryelatch_node.relay._migration_planner import (
+    LEAVING_SECONDS,
+    MigrationPlanner,
+)
 from ryelatch_node.relay._stream import LiveStream
+from ryelatch_node.views import ReplicaView
 
 
 def _make(name: str, *, leaving: bool = False) -> Replica:
--- a/tests/node/relay/test_path_checks.py
+++ b/tests/node/relay/test_path_checks.py
@@ -13,7 +13,6 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.views import ReplicaView
 from ryelatch_node.ports import Reachability
 from ryelatch_node.relay._path_checks import (
     CONNECT_SECONDS,
@@ -21,6 +20,7 @@
     MAX_THRESHOLD_FACTOR,
     PathChecks,
 )
+from ryelatch_node.views import ReplicaView
 from virtual.loop import VirtualClock, VirtualLoop, run
 
 _NEVER = 100.0
--- a/tests/node/relay/test_windows.py
+++ b/tests/node/relay/test_windows.py
@@ -38,7 +38,7 @@
         clock=SimpleNamespace(monotonic=lambda: 1.0),
         load=LoadTracker(),
         windows=windows,
-        paces=SimpleNamespace(check=lambda _: None),
+        slow_replicas=SimpleNamespace(check=lambda _: None),
     )
 
 
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -19,8 +19,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
