--- a/tests/virtual/__init__.py
+++ b/tests/virtual/__init__.py
@@ -1,5 +1,6 @@
-"""Nodes, their store and its troubles in virtual time.
+"""Simulates nodes, their store and its faults in virtual time.
 
-Nothing here waits: the loop's clock jumps to whatever comes next, so a test
-of seconds takes milliseconds, and how busy the machine is changes nothing.
+The event loop's clock jumps to the next scheduled callback instead of waiting.
+A test of several seconds takes milliseconds, and the load of the machine
+doesn't influence its result.
 """
--- a/tests/virtual/links.py
+++ b/tests/virtual/links.py
@@ -1,4 +1,4 @@
-"""Connections between nodes, in virtual time."""
+"""Simulated connections between nodes, in virtual time."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,15 +12,16 @@
         self._ends = ends
 
     def abort(self) -> None:
-        """End both directions."""
+        """Signal the end of the stream in both directions."""
         for end in self._ends:
             end.feed_eof()
 
 
 class _Writer:
-    """One direction of a connection.
+    """The writer of one direction of a connection.
 
-    :param carries: tells whether the link carries anything now.
+    :param carries: returns whether the link transmits data at the moment;
+        data written meanwhile is lost.
     """
 
     def __init__(
@@ -34,16 +35,16 @@
         self._carries = carries
 
     def write(self, data: bytes) -> None:
-        """Deliver a little later, if the link carries anything."""
+        """Deliver the data after the link's delay, if the link transmits."""
         loop = asyncio.get_running_loop()
         if self._carries():
             loop.call_later(LINK_SECONDS, self._deliver, data)
 
     async def drain(self) -> None:
-        """Nothing waits."""
+        """Return at once, as there is no flow control."""
 
     def _deliver(self, data: bytes) -> None:
-        # A connection may have been closed while the bytes were on their way.
+        # The connection may have been closed while the data was in transit.
         if not self._far._eof:  # type: ignore[attr-defined]
             self._far.feed_data(data)
 
@@ -51,7 +52,11 @@
 def open_pair(
     carries: Callable[[], bool],
 ) -> tuple[tuple[Any, Any], tuple[Any, Any]]:
-    """Make both ends of a connection, each a reader and a writer."""
+    """Create a connection.
+
+    :param carries: returns whether the link transmits data at the moment.
+    :returns: both ends, each as a reader and a writer.
+    """
     near, far = asyncio.StreamReader(), asyncio.StreamReader()
     return (
         (near, _Writer(near, far, carries)),
--- a/tests/virtual/loop.py
+++ b/tests/virtual/loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to whatever comes next."""
+"""An event loop whose clock jumps to the next scheduled callback."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,9 +6,9 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop without sockets of its own, on which time passes only in jumps."""
+    """An event loop in virtual time, which advances only in jumps."""
 
-    # The library's loop has no public place from which to jump.
+    # asyncio has no public hook for advancing the time of a loop.
     _ready: Any
     _scheduled: Any
 
@@ -17,11 +17,11 @@
         self._now = 1000.0
 
     def time(self) -> float:
-        """Tell the virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def stand_still(self, seconds: float) -> None:
-        """Let time pass in which nothing runs, as without a processor."""
+        """Advance the time without running callbacks, as without a CPU."""
         self._now += seconds
 
     def _run_once(self) -> None:
@@ -31,18 +31,18 @@
 
 
 class VirtualClock:
-    """The clock of the product, on the loop that runs."""
+    """A clock for nodes that shows the time of the running loop."""
 
     def wall(self) -> float:
-        """Tell the same as the other clock."""
+        """Return the same time as the monotonic clock."""
         return self.monotonic()
 
     def monotonic(self) -> float:
-        """Tell the loop's time."""
+        """Return the time of the running loop in seconds."""
         return asyncio.get_running_loop().time()
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run to the end in virtual time."""
+    """Run a coroutine to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
--- a/tests/virtual/store.py
+++ b/tests/virtual/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store that is reached without sockets."""
+"""A stand-in for the platform's store, called without sockets."""
 
 import asyncio
 import enum
@@ -12,13 +12,16 @@
 import aiohttp
 
 ANSWER_SECONDS = 0.004
-"""The store's usual time for an answer."""
+"""Time that the store usually takes to respond."""
 
-_LOOK_SECONDS = 0.02
-"""How often a watch that hears nothing looks whether that is over."""
+_POLL_SECONDS = 0.02
+"""How often a watch that receives no events checks whether this is over."""
 
 _INSTANT_SECONDS = 1e-6
-"""A time so short that adding it may leave the clock where it is."""
+"""A time so short that adding it may not change the clock's value.
+
+A watch with no more time than this left has reached its end.
+"""
 
 _GONE = 410
 _CONFLICT = 409
@@ -28,16 +31,16 @@
 
 
 class Trouble(enum.Enum):
-    """What the store does to a caller."""
+    """The fault that a client of the store meets."""
 
     NONE = 'none'
     SILENT = 'silent'
-    """A call that is made meanwhile is never answered."""
+    """Calls made during the fault never get a response."""
 
     BUSY = 'busy'
     RESET = 'reset'
-    DEAF = 'deaf'
-    """Watches hear nothing, other calls are answered."""
+    WATCHES_UNRESPONSIVE = 'deaf'
+    """Watches receive no events; other calls get responses."""
 
 
 @dataclass
@@ -52,10 +55,11 @@
 
 @dataclass(eq=False)
 class VirtualStore:
-    """Objects, their history, and what each caller meets.
+    """Objects, the history of their changes, and a fault for each client.
 
-    :param troubles: by caller; all others meet none.
-    :param delay: seconds that each answer takes.
+    :param troubles: faults by client; all other clients meet none.
+    :param delay: seconds that each response takes.
+    :param calls: time, client and path of each call.
     """
 
     troubles: dict[str, Trouble] = field(default_factory=dict)
@@ -71,35 +75,35 @@
     _cut: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object."""
+        """Create or replace an object."""
         self.revision += 1
         found = {
             'metadata': {'name': name, 'revision': self.revision},
             'spec': spec,
         }
         self._objects.setdefault(kind, {})[name] = found
-        self._note(kind, {'object': found, 'deleted': False})
+        self._record(kind, {'object': found, 'deleted': False})
 
     def drop(self, kind: str, name: str) -> None:
-        """Delete an object, if it is there."""
+        """Delete an object, if it exists."""
         found = self._objects[kind].pop(name, None)
         if found is not None:
             self.revision += 1
-            self._note(kind, {'object': found, 'deleted': True})
+            self._record(kind, {'object': found, 'deleted': True})
 
     def forget_history(self) -> None:
-        """Drop all history; watches from before are told so."""
+        """Drop the history; older watches get an error that says so."""
         self._history.clear()
         self._kept_since = self.revision
         self._wake()
 
     def cut_watches(self) -> None:
-        """End the connections of all watches that wait."""
+        """Close the connections of all waiting watches."""
         self._cut, old = asyncio.Event(), self._cut
         old.set()
 
     def open_session(self, caller: str) -> 'VirtualSession':
-        """Open what stands for a pool of connections."""
+        """Create a stand-in for the connection pool of a client."""
         return VirtualSession(self, caller)
 
     async def answer(
@@ -109,10 +113,10 @@
         method: str = 'GET',
         body: bytes | None = None,
     ) -> _Answer:
-        """Answer a call as the troubles of its caller allow.
+        """Respond to a call, as far as the fault of its client allows.
 
-        What waits when the store goes silent is answered in the end, what is
-        sent meanwhile never.
+        Watches that already wait when the store stops responding get their
+        response in the end. Calls made during the fault get none.
         """
         now = asyncio.get_running_loop().time()
         self.calls.append((now, caller, path))
@@ -141,7 +145,7 @@
         return _Answer(_MISSING, b'{}') if found is None else _write(**found)
 
     def _change(self, method: str, path: str, body: bytes | None) -> _Answer:
-        """Write or delete an object under the condition that is given."""
+        """Write or delete an object, if its revision is the expected one."""
         place, _, query = path.partition('?')
         kind, _, name = place.partition('/')
         wanted = query.removeprefix('revision=')
@@ -150,11 +154,14 @@
             content = json.loads(body)
             name, spec = content['metadata']['name'], content['spec']
             wanted = str(content['metadata'].get('revision', ''))
-        held = self._objects.get(kind, {}).get(name)
-        if held is None and method != 'POST':
+        current = self._objects.get(kind, {}).get(name)
+        if current is None and method != 'POST':
             return _Answer(_MISSING, b'{}')
-        if held is not None and str(held['metadata']['revision']) != wanted:
-            return _Answer(_CONFLICT, json.dumps(held).encode())
+        if (
+            current is not None
+            and str(current['metadata']['revision']) != wanted
+        ):
+            return _Answer(_CONFLICT, json.dumps(current).encode())
         if method == 'DELETE':
             self.drop(kind, name)
             return _write()
@@ -174,37 +181,37 @@
     ) -> _Answer:
         cut = self._cut
         loop = asyncio.get_running_loop()
-        ends = loop.time() + wait
+        deadline = loop.time() + wait
         while True:
             if cut.is_set():
                 raise aiohttp.ServerDisconnectedError
-            deaf = caller in self.troubles
-            if since < self._kept_since and not deaf:
+            withheld = caller in self.troubles
+            if since < self._kept_since and not withheld:
                 return _Answer(_GONE, b'{}')
             events = [
                 event
                 for revision, of, event in self._history
                 if revision > since and of == kind
             ]
-            left = ends - loop.time()
-            if not deaf and (events or left <= _INSTANT_SECONDS):
+            left = deadline - loop.time()
+            if not withheld and (events or left <= _INSTANT_SECONDS):
                 return _write(events=events, at=self.revision)
-            await self._wait(cut, _LOOK_SECONDS if deaf else left)
+            await self._wait(cut, _POLL_SECONDS if withheld else left)
 
     async def _wait(self, cut: asyncio.Event, seconds: float) -> None:
-        waits = [
+        tasks = [
             asyncio.ensure_future(event.wait())
             for event in (self._changed, cut)
         ]
         try:
             await asyncio.wait(
-                waits, timeout=seconds, return_when=asyncio.FIRST_COMPLETED
+                tasks, timeout=seconds, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            for one in waits:
-                one.cancel()
+            for task in tasks:
+                task.cancel()
 
-    def _note(self, kind: str, event: dict[str, Any]) -> None:
+    def _record(self, kind: str, event: dict[str, Any]) -> None:
         self._history.append((self.revision, kind, event))
         self._wake()
 
@@ -215,7 +222,7 @@
 
 @dataclass(eq=False)
 class VirtualSession:
-    """Makes calls as the HTTP client does."""
+    """Makes calls to the store, with the interface of the HTTP client."""
 
     store: VirtualStore
     caller: str
@@ -231,7 +238,7 @@
         data: bytes | None = None,
         **_: Any,
     ) -> AsyncIterator[_Answer]:
-        """Make a call within its time."""
+        """Make a call, limited by its timeout."""
         path = url.partition('/objects/')[2]
         call = asyncio.create_task(
             self.store.answer(self.caller, path, method, data)
@@ -246,7 +253,7 @@
         yield answer
 
     async def close(self) -> None:
-        """Close all connections; calls on them fail."""
+        """Close all connections; calls in progress fail."""
         for call in tuple(self._calls):
             call.cancel()
 
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -1,4 +1,4 @@
-"""Nodes that grant each other permits, in virtual time."""
+"""Nodes that grant each other permits for a replica, in virtual time."""
 
 import asyncio
 import json
@@ -21,11 +21,13 @@
 
 @dataclass(eq=False)
 class ThrottledFleet:
-    """Nodes that send to one replica, which names a limit.
+    """Nodes that send requests to one replica with a rate limit.
 
-    :param limit: named in each answer; nothing for none.
+    :param limit: requests per second that the replica reports in each answer;
+        ``None`` if it reports no limit.
     :param dark: nodes that can't be reached.
-    :param sent: when a request reached the replica, and from which node.
+    :param sent: when each request reached the replica, and from which node.
+    :param lines: log lines of all nodes.
     """
 
     limit: float | None
@@ -36,19 +38,22 @@
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
 
     def start(self, names: Iterable[str]) -> None:
-        """Start nodes that know each other."""
+        """Start nodes that have each other in their lists of nodes."""
         for name in names:
             self.nodes[name] = self._make(name)
         self.know(self.nodes, self.nodes)
 
     def know(self, knowing: Iterable[str], known: Iterable[str]) -> None:
-        """Let some nodes know of some nodes."""
+        """Set the list of nodes that some nodes have."""
         entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in known]
         for name in knowing:
             self.nodes[name].news.know(entries)
 
     async def send(self, name: str) -> bool:
-        """Send a request from a node, if it has leave, and hear the answer."""
+        """Send a request from a node, if it gets a permit.
+
+        :returns: whether the request was sent.
+        """
         throttle = self.nodes[name]
         if REPLICA.name in throttle.list_closed():
             return False
@@ -59,19 +64,30 @@
         return True
 
     async def press(self, names: list[str], seconds: float, gap: float) -> None:
-        """Send from some nodes in turn, one request each so many seconds."""
+        """Send requests from some nodes in turn.
+
+        :param seconds: how long to send.
+        :param gap: seconds between requests.
+        """
         loop = asyncio.get_running_loop()
-        ends = loop.time() + seconds
-        while loop.time() < ends:
+        end = loop.time() + seconds
+        while loop.time() < end:
             for name in names:
-                self._tasks.append(asyncio.create_task(self._press_once(name)))
+                self._tasks.append(asyncio.create_task(self._send_once(name)))
                 await asyncio.sleep(gap)
 
     def count_most(self, since: float, span: float) -> int:
-        """Count the most requests that came within some seconds."""
+        """Count the requests in the busiest period of a length.
+
+        :param since: when counting starts.
+        :param span: length of the period in seconds.
+        """
         times = [at for at, _ in self.sent if at >= since]
         return max(
-            (sum(one <= at < one + span for at in times) for one in times),
+            (
+                sum(begin <= at < begin + span for at in times)
+                for begin in times
+            ),
             default=0,
         )
 
@@ -82,7 +98,7 @@
         for throttle in self.nodes.values():
             await throttle.stop()
 
-    async def _press_once(self, name: str) -> None:
+    async def _send_once(self, name: str) -> None:
         await self.send(name)
 
     def _make(self, name: str) -> Throttle:
@@ -109,5 +125,8 @@
 
 
 def make_terms(limit: float | None, *, signed: bool = True) -> AnswerTerms:
-    """Make what an answer says that names a limit."""
+    """Create the metadata of an answer that may report a rate limit.
+
+    :param limit: requests per second; ``None`` for no limit.
+    """
     return AnswerTerms('', signed, not signed, '', False, limit=limit)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -1,4 +1,4 @@
-"""Nodes that follow the registry of a stand-in store, in virtual time."""
+"""A simulated fleet whose nodes follow a stand-in store, in virtual time."""
 
 import asyncio
 import json
@@ -31,12 +31,15 @@
 from virtual.store import VirtualStore
 
 HOUSEKEEPING_SECONDS = 0.5
-"""How often a node drops what is due; see the relay's housekeeper."""
+"""How often a node drops expired entries, as the relay's housekeeper does."""
 
 
 @dataclass(eq=False)
 class VirtualNode:
-    """A node, as far as it follows the store."""
+    """The parts of a node that follow the store.
+
+    :param lines: log lines of the node.
+    """
 
     name: str
     view: ReplicaView
@@ -49,15 +52,15 @@
     tasks: list['asyncio.Task[None]'] = field(default_factory=list)
 
     async def start(self) -> None:
-        """Start to follow, and to drop what is due."""
+        """Start following the store and dropping expired entries."""
         await self.store.start()
         await self.quarantine.start()
         self.news.start_greeting()
         await self.follower.start()
-        self.tasks.append(asyncio.create_task(self._keep_house()))
+        self.tasks.append(asyncio.create_task(self._housekeep()))
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop the node."""
         await self.follower.stop()
         await self.quarantine.stop()
         await self.news.stop()
@@ -66,16 +69,17 @@
         await self.store.stop()
 
     def offers(self, name: str) -> bool:
-        """Whether a replica may get a request now."""
+        """Return whether the node may send a request to a replica now."""
         return any(
-            one.name == name for one in self.view.list_service(PLAIN_SERVICE)
+            replica.name == name
+            for replica in self.view.list_service(PLAIN_SERVICE)
         )
 
     def count(self, event: str) -> int:
-        """Count the lines of an event."""
+        """Count the log lines of an event kind."""
         return sum(line['name'] == event for line in self.lines)
 
-    async def _keep_house(self) -> None:
+    async def _housekeep(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
             self.view.drop_lapsed()
@@ -84,27 +88,32 @@
 
 @dataclass(eq=False)
 class World:
-    """A store and the nodes that follow it.
+    """A simulated fleet: a store and the nodes that follow it.
 
     :param drain: seconds for which a replica that has left may get requests.
-    :param steady: seconds without trouble after which nodes are held to it.
-    :param dark: nodes whose links to other nodes carry nothing.
-    :param zones: of nodes that are not in ``zone-a``.
-    :param refuses: whether the nodes follow what is refused, too.
-    :param untold: makes a kind that they follow, and that no peer tells.
+    :param steady: seconds without faults after which nodes must meet
+        ``drain``.
+    :param unreachable: nodes whose links to other nodes transmit nothing.
+    :param zones: zones of the nodes that are not in ``zone-a``.
+    :param follows_quarantine: whether the nodes follow the quarantine, too.
+    :param make_unshared_kind: creates another kind of object that the nodes
+        follow, and that no peer announces.
     """
 
     drain: float = 2.0
     steady: float = 3.0
     store: VirtualStore = field(default_factory=VirtualStore)
     nodes: dict[str, VirtualNode] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     zones: dict[str, str] = field(default_factory=dict)
-    refuses: bool = False
-    untold: Callable[[], Kind] | None = None
+    follows_quarantine: bool = False
+    make_unshared_kind: Callable[[], Kind] | None = None
 
     async def start(self, names: Iterable[str], replicas: int = 4) -> None:
-        """Start nodes that know each other, and let them settle."""
+        """Start nodes that have each other in their lists of nodes.
+
+        Returns when their first watches are established.
+        """
         self.store.put('config', 'main', make_configuration())
         for number in range(replicas):
             self.register(f'b-{number}')
@@ -125,7 +134,7 @@
             await node.stop()
 
     async def restart(self, names: Iterable[str]) -> None:
-        """Let nodes end, and start again knowing nothing, all at once."""
+        """Stop nodes and start all of them again with an empty state."""
         for name in names:
             await self.nodes[name].stop()
             self.nodes[name] = self._make(name)
@@ -133,7 +142,7 @@
             await self.nodes[name].start()
 
     def register(self, name: str, state: str = 'ready') -> None:
-        """Write a replica's entry."""
+        """Write the entry of a replica into the registry."""
         spec = {
             'service': PLAIN_SERVICE,
             'addr': f'10.0.0.{1 + crc32(name.encode()) % 200}:8000',
@@ -146,8 +155,8 @@
         }
         self.store.put('servers', name, spec)
 
-    def leave(self, name: str) -> None:
-        """Let the store accept that a replica is gone."""
+    def deregister(self, name: str) -> None:
+        """Delete the entry of a replica that has left."""
         self.store.drop('servers', name)
 
     def _find_zone(self, name: str) -> str:
@@ -165,8 +174,8 @@
         startup = make_startup(1)._replace(
             name=name, zone=self._find_zone(name)
         )
-        terms = compute_departure_bounds(self.drain, self.steady)
-        view = ReplicaView(log, clock, Hub(), terms)
+        bounds = compute_departure_bounds(self.drain, self.steady)
+        view = ReplicaView(log, clock, Hub(), bounds)
         configuration = ConfigurationView(log, clock, startup.revoke_seconds)
         store = StoreClient(
             startup.store,
@@ -176,18 +185,18 @@
         )
         news = News(log, clock, startup, self._dial(name))
         news.address = Address(name, 1)
-        patience = crc32(name.encode()) % 100 / 100
+        jitter = crc32(name.encode()) % 100 / 100
         quarantine = Quarantine(
-            log, clock, make_quarantine_store(store), CrashTracker(patience)
+            log, clock, make_quarantine_store(store), CrashTracker(jitter)
         )
         kinds = [
             follow_configuration(log, configuration),
             follow_registry(log, view),
         ]
-        if self.refuses:
+        if self.follows_quarantine:
             kinds.append(follow_quarantine(log, quarantine))
-        if self.untold:
-            kinds.append(self.untold())
+        if self.make_unshared_kind:
+            kinds.append(self.make_unshared_kind())
         follower = Follower(store, news, log, clock, tuple(kinds))
         return VirtualNode(
             name, view, configuration, news, store, follower, quarantine, lines
@@ -196,10 +205,10 @@
     def _dial(self, caller: str) -> Any:
         async def dial(host: str, port: int) -> Any:
             peer = self.nodes[host]
-            if self.dark & {caller, host}:
+            if self.unreachable & {caller, host}:
                 await asyncio.Event().wait()
             await asyncio.sleep(LINK_SECONDS)
-            near, far = open_pair(lambda: not self.dark & {caller, host})
+            near, far = open_pair(lambda: not self.unreachable & {caller, host})
             serving = peer.news.server.serve(*far)
             peer.tasks.append(asyncio.create_task(serving))
             return near
