--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -1,4 +1,4 @@
-"""Replicas that turn requests away and ask for rest."""
+"""Replicas that refuse requests and request a backoff."""
 
 import asyncio
 
@@ -6,25 +6,26 @@
 
 from fleet.running import RunningNode, ask, make_model, make_plain, run_node
 
-_REST_SECONDS = 3.0
+_BACKOFF_SECONDS = 3.0
 _ROUNDING = 0.01
 _NOTICE_SECONDS = 0.5
 _PAUSE_SECONDS = 0.05
 
 
 async def test_lines_tell_that_a_rest_was_asked_for() -> None:
-    """Nothing at a node shows for how long a replica turned it away."""
+    """The log doesn't show for how long a replica requested a backoff."""
     replicas = make_plain(2)
     for replica in replicas:
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_REST_SECONDS}'}
+        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         await ask(node, '/ping/x')
-        assert node.find('replica-backoff')['seconds'] == _REST_SECONDS
+        assert node.find('replica-backoff')['seconds'] == _BACKOFF_SECONDS
         assert not node.count('backoff-unreadable')
 
 
 async def test_lines_tell_that_a_rest_is_unreadable() -> None:
+    """A backoff header that can't be parsed leaves no trace in the log."""
     replica = make_plain(1)[0]
     replica.refuse = 503
     replica.says = {'Retry-After': 'soon'}
@@ -35,67 +36,75 @@
 
 
 async def _send_for(node: RunningNode, path: str, seconds: float) -> list[int]:
-    """Send requests one after the other, without waiting for answers."""
+    """Send requests at a steady rate, without waiting for answers.
+
+    :returns: the status codes of the answers.
+    """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + seconds
+    end = loop.time() + seconds
     asked = []
-    while loop.time() < ends:
+    while loop.time() < end:
         number = len(asked)
-        one = ask(node, path, identity=f'c-{number}', content=b'%d' % number)
-        asked.append(asyncio.create_task(one))
+        request = ask(
+            node, path, identity=f'c-{number}', content=b'%d' % number
+        )
+        asked.append(asyncio.create_task(request))
         await asyncio.sleep(_PAUSE_SECONDS)
     return [answer[0] for answer in await asyncio.gather(*asked)]
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
 async def test_resting_replica_is_left_alone(path: str) -> None:
-    """A replica that asked for seconds of rest gets a request each 0.3 s."""
+    """A replica that requested a backoff of 3 s gets requests each 0.3 s."""
     streams = path.startswith('/plan')
     replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
-    resting = replicas[0]
-    resting.refuse = 503
-    resting.says = {'Retry-After': f'{_REST_SECONDS}'}
+    limited = replicas[0]
+    limited.refuse = 503
+    limited.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
-        statuses = await _send_for(node, path, 2 * _REST_SECONDS)
+        statuses = await _send_for(node, path, 2 * _BACKOFF_SECONDS)
         assert set(statuses) == {200}
-        assert resting.refusals
-        for asked in resting.refusals:
+        assert limited.refusals
+        for asked in limited.refusals:
             within = [
                 at
-                for at in resting.refusals
-                if asked + _NOTICE_SECONDS < at < asked + _REST_SECONDS
+                for at in limited.refusals
+                if asked + _NOTICE_SECONDS < at < asked + _BACKOFF_SECONDS
             ]
             assert len(within) <= 2
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x', '/book/x'])
 async def test_all_at_rest_are_refused_until_the_first(path: str) -> None:
-    """A client is told to come back while all replicas still rest."""
+    """A client is sent back while all replicas are still in backoff.
+
+    Its ``Retry-After`` must reach to the end of the first backoff.
+    """
     streams = path.startswith('/plan')
     replicas = make_model(*[(0, 8)] * 2) if streams else make_plain(2)
     for number, replica in enumerate(replicas):
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_REST_SECONDS + number}'}
+        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS + number}'}
     async with run_node(replicas) as node:
         loop = asyncio.get_running_loop()
         first = loop.time()
         for number in range(2):
             await ask(node, path, identity=f'c-{number}')
-        began = loop.time()
+        started = loop.time()
         status, _, headers = await ask(node, path, identity='c-2')
         ended = loop.time()
-        assert ended - began < _NOTICE_SECONDS
+        assert ended - started < _NOTICE_SECONDS
         assert status == 503
-        left = _REST_SECONDS - (ended - first)
+        left = _BACKOFF_SECONDS - (ended - first)
         assert float(headers['retry-after']) > left - _ROUNDING
-        assert all(len(one.refusals) <= 2 for one in replicas)
+        assert all(len(stand_in.refusals) <= 2 for stand_in in replicas)
 
 
 async def test_replica_at_rest_is_asked_for_no_report() -> None:
-    """A replica that wants nothing is asked how it is instead."""
+    """A replica in backoff gets requests for its report instead."""
     replicas = make_model((0, 8), (0, 8))
     replicas[0].refuse = 503
-    replicas[0].says = {'Retry-After': f'{_REST_SECONDS}'}
+    replicas[0].says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         for number in range(6):
             await ask(node, '/plan/x', identity=f'c-{number}')
@@ -105,7 +114,7 @@
 
 
 async def test_end_of_a_rest_is_the_end() -> None:
-    """A replica that had its rest gets no requests any more."""
+    """A replica gets no more requests after its backoff is over."""
     replicas = make_plain(2)
     replicas[0].refuse = 503
     replicas[0].says = {'Retry-After': '0.4'}
--- a/tests/platform/test_begin.py
+++ b/tests/platform/test_begin.py
@@ -1,4 +1,4 @@
-"""What a process does before it loads the libraries."""
+"""Steps of a starting process before it loads its libraries."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 
 
 def test_no_certificates_are_read_at_a_start() -> None:
-    """A restarted node reads them all, and its clients wait for it."""
+    """A starting node parses all CA certificates while its clients wait."""
     made = subprocess.run(
         [sys.executable, '-c', _COUNT],
         capture_output=True,
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What a node believes when the store is in trouble, over real sockets."""
+"""A node's view of the store during faults, over real sockets."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 from ryelatch_node.beliefs import ReplicaView
 
 
-def _list_lost(node: RunningNode) -> set[str]:
+def _list_kinds_without_history(node: RunningNode) -> set[str]:
     return {
         line['kind'] for line in node.lines if line['name'] == 'history-lost'
     }
@@ -28,7 +28,7 @@
 
 
 async def test_new_configuration_is_in_force() -> None:
-    """A key is taken away and another given."""
+    """A revoked key still works, or a new one doesn't."""
     async with run_node(make_plain(1)) as node:
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
@@ -42,9 +42,10 @@
 
 
 async def test_older_configuration_is_ignored() -> None:
-    """A part of the store lags and gives an older version than was seen.
+    """An older configuration replaces the one that is in force.
 
-    Going back would undo what operators were told is in force.
+    A lagging part of the store returns it. Going back would undo what
+    operators saw confirmed.
     """
     async with run_node(make_plain(1)) as node:
         node.store.put('config', 'main', make_configuration(9))
@@ -56,10 +57,10 @@
 
 
 async def test_lost_history_is_listed_anew() -> None:
-    """The store hears nothing for a while, then drops its history.
+    """Changes are missed for good when the store drops its history.
 
-    Changes of that while come in no watch: a key taken away would be
-    accepted for good, and a replica that left get work.
+    Watches received no events before that. Without a new list a revoked key
+    stays accepted, and a replica that has left gets requests.
     """
     async with run_node(make_plain(2)) as node:
         node.store.deaf = True
@@ -78,7 +79,7 @@
             'ryelatch-leases',
             'ryelatch-quarantine',
         }
-        await wait_until(lambda: _list_lost(node) == kinds)
+        await wait_until(lambda: _list_kinds_without_history(node) == kinds)
         assert not node.count('task-crashed')
         status, _, _ = await ask(node, '/ping/x')
         assert status == 401
@@ -87,10 +88,10 @@
 async def test_watch_of_before_an_outage_is_renewed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store is away for a moment, and forgets who watched the registry.
+    """A replica that left during a short outage gets requests.
 
-    Another call tells that it is back. The old watch would wait for seconds
-    more, and a replica that left meanwhile get work.
+    The store forgets the watch of the registry. Another call shows that the
+    store is back, while the old watch would wait for seconds more.
     """
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
@@ -104,17 +105,17 @@
         node.store.deaf = False
         node.store.mode = 'ok'
         await wait_until(lambda: node.count('store-back'))
-        # It lapsed in an outage, so it is kept for two seconds.
+        # The entry expired during an outage, so it is kept for 2 s.
         await wait_until(lambda: node.count('replica-gone'))
 
 
 async def test_silent_connections_are_left_together(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All connections to the store go silent, and new ones work.
+    """A replica that left gets requests as a watch hangs on a dead connection.
 
-    One call finds out. A watch on another of the old connections would wait
-    for a minute here, and a replica that left get work.
+    All connections to the store stop responding; new ones work. One call
+    detects that, and a watch on another old connection would wait for 60 s.
     """
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
@@ -133,27 +134,27 @@
 async def test_change_leaves_keys_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The configuration changes at the end of a watch's wait.
+    """Keyed requests are refused after a change of the configuration.
 
-    The watch confirms only when it was sent. The next one waited as long
-    again, and keyed requests were refused meanwhile, at each change and at a
-    third of the nodes.
+    A watch confirms the keys as of the time at which it was sent. If a change
+    ends it late, the next watch must not wait as long again before it
+    confirms them.
     """
     monkeypatch.setattr('ryelatch_platform._kinds.CONFIGURATION_WAIT', 4)
     async with run_node(make_plain(1), revoke_seconds=6) as node:
         await asyncio.sleep(3.5)
         node.store.put('config', 'main', make_configuration(7))
         await wait_until(lambda: node.count('configuration-applied') == 2)
-        # Till after the time at which a second whole wait would be over.
+        # Longer than the second watch would wait in full.
         await asyncio.sleep(2)
         assert not node.count('configuration-stale')
 
 
 async def test_unconfirmed_keys_are_refused() -> None:
-    """A node is cut off from the store; a key is taken away meanwhile.
+    """A node that is cut off from the store accepts a revoked key for good.
 
-    The node can't know. After a bound it refuses keyed requests with a
-    promise that they did not run, and serves again when it has caught up.
+    After a bound it must refuse keyed requests, with a promise that they
+    did not run, and serve again once it has caught up with the store.
     """
     async with run_node(make_plain(1), revoke_seconds=2.5) as node:
         status, _, _ = await ask(node, '/ping/x')
@@ -174,9 +175,9 @@
 
 
 async def test_unconfigured_node_denies_nothing() -> None:
-    """A node starts while the store is out.
+    """A node that starts during an outage answers 404 for existing routes.
 
-    It knows no route, but that is no proof that there is none.
+    It has no configuration yet, so it can't rule out that a route exists.
     """
     async with run_node(make_plain(1)) as node:
         view = node.app.find('configuration', object)
@@ -186,10 +187,10 @@
 
 
 async def test_unlisted_registry_is_no_repair() -> None:
-    """A node has just started and has not listed the replicas.
+    """A client is sent away for the time of a repair although none is needed.
 
-    It knows of no layers, but none are missing: the client comes back at
-    once, and not after the time of a repair.
+    A freshly started node hasn't listed the replicas yet. That it has no
+    layers in its view doesn't mean that they are missing.
     """
     async with run_node(make_model((0, 8))) as node:
         node.app.find('replicas', ReplicaView).listed = False
@@ -209,10 +210,10 @@
 
 
 async def test_lapsed_entries_may_come_back() -> None:
-    """The store is away, and entries of live replicas lapse meanwhile.
+    """Entries that expired in an outage are dropped when the store is back.
 
-    Dropping them at its return would leave nobody to serve. They are kept
-    for as long as it takes those that live to come back.
+    Their replicas are running, and no replica would be left to serve. The
+    entries are kept until running replicas had time to register again.
     """
     async with run_node(make_plain(2)) as node:
         node.store.mode = 'busy'
@@ -238,7 +239,7 @@
 
 
 async def test_unreadable_configuration_is_let_be() -> None:
-    """A version comes that can't be read; the one in force stays."""
+    """An unreadable configuration replaces the one that is in force."""
     async with run_node(make_plain(1)) as node:
         node.store.put('config', 'main', {'version': 'seven'})
         await wait_until(lambda: node.count('configuration-refused'))
@@ -250,11 +251,11 @@
 
 
 async def test_empty_fleet_is_placed() -> None:
-    """A first start: replicas are empty, and one node places the layers."""
+    """A fleet of replicas without layers is never assigned any."""
     async with run_node(make_model(None, None, None, None)) as node:
         await wait_until(lambda: node.count('order-sent') >= 2)
         await wait_until(
-            lambda: all(one.layers for one in node.replicas.values())
+            lambda: all(replica.layers for replica in node.replicas.values())
         )
         status, _, _ = await ask(node, '/plan/x')
         assert status == 200
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests under which replicas end."""
+"""Requests that crash replicas."""
 
 import asyncio
 import contextlib
@@ -17,34 +17,33 @@
 from standins.replica import ReplicaStandIn
 
 _CRASHING = b'a question under which replicas end'
-_MOST_RETRIES = 3
-_KNOWN_SECONDS = 0.5
+_MAX_RETRIES = 3
+_SHARING_SECONDS = 0.5
 
 
 @contextlib.asynccontextmanager
 async def _run_nodes(
     replicas: list[ReplicaStandIn],
 ) -> AsyncIterator[list[RunningNode]]:
-    """Run three nodes beside replicas that end under one request."""
+    """Run three nodes and replicas that one particular request crashes."""
     for replica in replicas:
         replica.ends_on = _CRASHING
     async with run_nodes(replicas, 3) as nodes:
         yield nodes
 
 
-def _list_ended(replicas: list[ReplicaStandIn]) -> list[str]:
-    return [one.name for one in replicas if one.ended]
+def _list_crashed(replicas: list[ReplicaStandIn]) -> list[str]:
+    return [replica.name for replica in replicas if replica.ended]
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
 async def test_request_that_ends_replicas_meets_few(path: str) -> None:
     """One request takes a service down, replica by replica.
 
-    Each replica that begins to run it ends, and with it all that others had
-    there. Its client comes back, each time to another node and as another
-    request. Nothing was kept beyond one attempt, so every node took it for a
-    new one: its digest in the lines of all nodes showed one request under
-    which eighteen replicas had ended.
+    Each replica that begins to run it crashes, and loses the requests of
+    others. Its client retries, each time at another node and under another
+    id. Without crash records beyond one attempt, each node takes it for a new
+    request: eighteen replicas crashed under one digest that way.
     """
     streams = path.startswith('/plan')
     replicas = make_model(*[(0, 8)] * 14) if streams else make_plain(14)
@@ -54,13 +53,18 @@
             await ask(
                 next(senders), path, identity=f'c-{number}', content=_CRASHING
             )
-            await asyncio.sleep(_KNOWN_SECONDS)
-        assert len(_list_ended(replicas)) <= 3 + _MOST_RETRIES
-        assert sum(len(one.runs) for one in replicas) <= 3 + _MOST_RETRIES
+            await asyncio.sleep(_SHARING_SECONDS)
+        assert len(_list_crashed(replicas)) <= 3 + _MAX_RETRIES
+        assert (
+            sum(len(replica.runs) for replica in replicas) <= 3 + _MAX_RETRIES
+        )
 
 
 async def test_resumed_stream_goes_where_its_copies_go() -> None:
-    """One that ends replicas is resumed at a node that knows of no end."""
+    """A crashing stream is resumed at another replica than its copies.
+
+    The node at which it is resumed has seen no crash.
+    """
     replicas = make_model(*[(0, 8)] * 6)
     async with _run_nodes(replicas) as nodes:
         for (number, node), letter in itertools.product(
@@ -73,7 +77,7 @@
                 content=letter.encode(),
                 Last_Event_Id='1',
             )
-        met = {
+        replicas_by_content = {
             letter: {
                 replica.name
                 for replica in replicas
@@ -82,5 +86,5 @@
             }
             for letter in 'abcdef'
         }
-        assert all(len(names) == 1 for names in met.values())
-        assert len(set.union(*met.values())) > 1
+        assert all(len(names) == 1 for names in replicas_by_content.values())
+        assert len(set.union(*replicas_by_content.values())) > 1
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -1,12 +1,12 @@
-"""Replicas that have left get no requests, whatever the store was up to.
-
-Callers saw requests answered by a replica that had told seconds before that it
-leaves, some of them cut off with it. The store had been silent for a second
-some time earlier. A watch sent in the silence was lost, and each node learned
-of the outage when that watch was overdue, four seconds after it was over. It
-took entries that went after the outage for such as lapse in one and may come
-back, and kept them for two seconds from then. The lines of the nodes show it:
-``store-out`` with ``sent_ago=4.8``, then ``exchange-sent`` with ``missing``.
+"""Replicas that have left get no requests, whichever faults the store had.
+
+A replica got requests seconds after it had announced its departure. The store
+had not responded for a second some time before. A watch sent in that second
+was lost, and the node detected the outage only when the watch was overdue,
+four seconds after the outage. It then took entries deleted after the outage
+for expired ones that may come back, and kept them for two seconds. The log
+shows ``store-out`` with ``sent_ago=4.8``, then ``exchange-sent`` with
+``missing``.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 from virtual.world import World
 
 _OUTAGES = (0.1, 0.5, 0.8, 1.2, 2, 4)
-"""Lengths in seconds, around what a watch waits and what a call may take."""
+"""Durations in seconds, around the wait of a watch and a call's timeout."""
 
 
-async def _fall_silent(world: World, name: str, seconds: float) -> None:
+async def _stop_responding(world: World, name: str, seconds: float) -> None:
     world.store.troubles[name] = Trouble.SILENT
     await asyncio.sleep(seconds)
     del world.store.troubles[name]
@@ -35,23 +35,24 @@
     name: str,
     exempt: tuple[str, ...] = (),
 ) -> None:
-    """Let a replica leave, and look at what nodes choose from when it is due.
+    """Delete a replica's entry and check that no node uses it when it is due.
 
-    A choice made later than this would arrive after the bound.
+    The nodes are checked before the bound by the time that a connection may
+    take: a request that is sent later would arrive after the bound.
 
-    :param exempt: nodes that something has been done to.
+    :param exempt: nodes that met a fault and may still use the replica.
     """
-    world.leave(name)
+    world.deregister(name)
     await asyncio.sleep(world.drain - CONNECT_TIMEOUT_SECONDS)
-    offering = {one.name for one in world.nodes.values() if one.offers(name)}
+    offering = {node.name for node in world.nodes.values() if node.offers(name)}
     assert not offering - set(exempt)
 
 
 def test_leaving_after_a_silent_outage() -> None:
-    """The store is silent for a moment; replicas leave four seconds later.
+    """Replicas that leave seconds after an outage still get requests.
 
-    A change of the registry just before lets each node watch anew in the
-    silence, and that watch is lost.
+    A change of the registry just before the outage makes each node send a
+    new watch during the outage, and that watch is lost.
     """
 
     async def play() -> None:
@@ -62,7 +63,7 @@
         ):
             world.register('b-9')
             await asyncio.sleep(0.01)
-            await _fall_silent(world, 'node-a', seconds)
+            await _stop_responding(world, 'node-a', seconds)
             await asyncio.sleep(world.steady + later)
             await _expect_gone(world, 'b-0')
             world.register('b-0')
@@ -73,10 +74,10 @@
 
 
 def test_leaving_while_a_peer_is_asked() -> None:
-    """The same where nodes know of each other.
+    """Replicas that leave after an outage get requests in a fleet of nodes.
 
-    Whoever finds the store out asks a peer, which is as badly off, and goes on
-    asking although the store is back.
+    A node that detects the outage asks a peer instead, which is cut off as
+    well, and goes on asking it although the store is back.
     """
 
     async def play() -> None:
@@ -86,7 +87,7 @@
         world.register('b-9')
         await asyncio.sleep(0.01)
         await asyncio.gather(
-            *(_fall_silent(world, name, 1.1) for name in names)
+            *(_stop_responding(world, name, 1.1) for name in names)
         )
         await asyncio.sleep(world.steady + 0.4)
         await _expect_gone(world, 'b-0')
@@ -97,9 +98,10 @@
 
 @pytest.mark.parametrize('later', [0, 0.01, 0.05, 0.2, 0.5, 0.9])
 def test_leaving_as_a_watch_is_cut(later: float) -> None:
-    """The store cuts the watches that wait, as it may at any time.
+    """A replica that leaves as the store closes its watches gets requests.
 
-    That is no outage, and what goes at that moment has left.
+    The store may close watches at any time. That is no outage, so an entry
+    deleted at that moment belongs to a replica that has left.
     """
 
     async def play() -> None:
@@ -115,9 +117,9 @@
 
 
 def test_standing_still_is_no_outage() -> None:
-    """A node gets no processor time for two seconds; the store is well.
+    """A node without processor time for two seconds assumes an outage.
 
-    The answer to its watch came in time and was read after the timeout.
+    The response to its watch arrived in time, but is read after the timeout.
     """
 
     async def play() -> None:
@@ -139,11 +141,11 @@
 
 
 def test_leaving_while_connections_are_left() -> None:
-    """The store was silent for a moment and is slow after that.
+    """Calls that a node aborts itself count as signs of a longer outage.
 
-    An overdue watch makes the node leave all of its connections, those of
-    calls on their way with them. These fail by the node's own doing, and are
-    no sign of an outage that lasts.
+    The store doesn't respond for a moment and is slow after that. An overdue
+    watch makes the node close all of its connections, also those of calls in
+    progress.
     """
 
     async def play() -> None:
@@ -152,7 +154,7 @@
         store = world.nodes['node-a'].store
         world.register('b-9')
         await asyncio.sleep(0.01)
-        await _fall_silent(world, 'node-a', 0.3)
+        await _stop_responding(world, 'node-a', 0.3)
         silent_until = asyncio.get_running_loop().time()
         world.store.delay = 0.4
         calls = []
@@ -170,15 +172,16 @@
 
 @pytest.mark.parametrize('later', [0, 0.3, 0.6, 0.9])
 def test_leaving_while_watches_hear_nothing(later: float) -> None:
-    """The store's watches are deaf for a second, then its history is gone.
+    """A replica that leaves while watches receive no events gets requests.
 
-    A replica says that it leaves meanwhile, and goes.
+    After a second the store drops its history. In between the replica
+    announces its departure and leaves.
     """
 
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        world.store.troubles['node-a'] = Trouble.DEAF
+        world.store.troubles['node-a'] = Trouble.WATCHES_UNRESPONSIVE
         loop = asyncio.get_running_loop()
         loop.call_later(1, world.store.troubles.clear)
         loop.call_later(1, world.store.forget_history)
@@ -192,7 +195,7 @@
 
 
 def test_leaving_with_no_trouble() -> None:
-    """The store is well, and an entry goes without a word before."""
+    """A replica whose entry is deleted without announcement gets requests."""
 
     async def play() -> None:
         world = World()
@@ -209,10 +212,10 @@
 
 @pytest.mark.parametrize('trouble', [Trouble.SILENT, Trouble.BUSY])
 def test_entries_that_lapse_in_an_outage_are_kept(trouble: Trouble) -> None:
-    """The store is away for five seconds, and every entry lapses meanwhile.
+    """Entries that expired in an outage are dropped while replicas run.
 
-    They are back within 1.7 seconds of its return. Dropped before, nobody
-    would be left to serve.
+    All entries expire during an outage of five seconds, and are back 1.7 s
+    after it. Dropping them before that would leave no replica to serve.
     """
 
     async def play() -> None:
@@ -222,37 +225,40 @@
         world.store.troubles['node-a'] = trouble
         await asyncio.sleep(2)
         for number in range(4):
-            world.leave(f'b-{number}')
+            world.deregister(f'b-{number}')
         await asyncio.sleep(3)
         del world.store.troubles['node-a']
         for number in range(17):
             await asyncio.sleep(0.1)
-            assert all(node.offers(f'b-{one}') for one in range(4)), number
+            assert all(node.offers(f'b-{replica}') for replica in range(4)), (
+                number
+            )
         for number in range(4):
             world.register(f'b-{number}')
         await asyncio.sleep(5)
-        assert all(node.offers(f'b-{one}') for one in range(4))
+        assert all(node.offers(f'b-{replica}') for replica in range(4))
         await world.stop()
 
     run(play())
 
 
 def test_list_is_never_older_than_it_may_be() -> None:
-    """Changes come at all times of a watch's wait, and none is lost.
+    """The view of the registry grows too old though the store responds.
 
-    The list's age is the first term of the sum; the store answers all along.
+    Changes come at all times of a watch's wait. The age of the list is a part
+    of the bound on departures.
     """
 
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        known = world.nodes['node-a'].view.known
-        draw = random.Random(7)
+        freshness = world.nodes['node-a'].view.known
+        random_source = random.Random(7)
         for _ in itertools.repeat(None, 300):
-            await asyncio.sleep(draw.uniform(0, 0.3))
-            if draw.randrange(10) < 3:
-                world.register(f'b-{draw.randrange(4)}')
-            assert known.left >= 0
+            await asyncio.sleep(random_source.uniform(0, 0.3))
+            if random_source.randrange(10) < 3:
+                world.register(f'b-{random_source.randrange(4)}')
+            assert freshness.left >= 0
         await world.stop()
 
     run(play())
@@ -260,18 +266,20 @@
 
 @pytest.mark.parametrize('seed', range(25))
 def test_leaving_after_any_outages(seed: int) -> None:
-    """Outages of each kind come at random, and replicas leave later."""
+    """Replicas that leave after random outages still get requests."""
 
     async def play() -> None:
-        draw = random.Random(seed)
-        drain, steady = draw.choice([(2.0, 3.0), (3.0, 4.0)])
+        random_source = random.Random(seed)
+        drain, steady = random_source.choice([(2.0, 3.0), (3.0, 4.0)])
         world = World(drain, steady)
-        names = draw.choice([('node-a',), ('node-a', 'node-b', 'node-c')])
+        names = random_source.choice(
+            [('node-a',), ('node-a', 'node-b', 'node-c')]
+        )
         await world.start(names)
         for _ in itertools.repeat(None, 6):
-            for _ in range(draw.randrange(1, 4)):
-                await _trouble_nodes(world, draw)
-            await asyncio.sleep(steady + draw.uniform(0, 2))
+            for _ in range(random_source.randrange(1, 4)):
+                await _affect_nodes(world, random_source)
+            await asyncio.sleep(steady + random_source.uniform(0, 2))
             await _expect_gone(world, 'b-0')
             world.register('b-0')
         await world.stop()
@@ -279,20 +287,27 @@
     run(play())
 
 
-async def _trouble_nodes(world: World, draw: random.Random) -> None:
-    """Let some nodes meet an outage after a change of the registry."""
-    kinds = (Trouble.SILENT, Trouble.BUSY, Trouble.RESET, Trouble.DEAF)
-    met = draw.sample(
-        list(world.nodes), draw.randrange(1, len(world.nodes) + 1)
+async def _affect_nodes(world: World, random_source: random.Random) -> None:
+    """Let some nodes meet a fault, often after a change of the registry."""
+    kinds = (
+        Trouble.SILENT,
+        Trouble.BUSY,
+        Trouble.RESET,
+        Trouble.WATCHES_UNRESPONSIVE,
+    )
+    affected = random_source.sample(
+        list(world.nodes), random_source.randrange(1, len(world.nodes) + 1)
     )
-    await asyncio.sleep(draw.uniform(0, 1.5))
-    if draw.randrange(10) < 7:
+    await asyncio.sleep(random_source.uniform(0, 1.5))
+    if random_source.randrange(10) < 7:
         world.register('b-9')
-        await asyncio.sleep(draw.uniform(0, 0.3))
-    world.store.troubles.update(dict.fromkeys(met, draw.choice(kinds)))
-    await asyncio.sleep(draw.choice(_OUTAGES))
+        await asyncio.sleep(random_source.uniform(0, 0.3))
+    world.store.troubles.update(
+        dict.fromkeys(affected, random_source.choice(kinds))
+    )
+    await asyncio.sleep(random_source.choice(_OUTAGES))
     world.store.troubles.clear()
-    if draw.randrange(10) < 3:
+    if random_source.randrange(10) < 3:
         world.store.cut_watches()
 
 
@@ -302,7 +317,7 @@
 
 @pytest.fixture
 def _sharing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the first node watch for the others, as in a large fleet."""
+    """Let the first node watch the store for the others, as in large fleets."""
     monkeypatch.setattr(
         'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 1
     )
@@ -315,10 +330,10 @@
     bounds: tuple[float, float],
     later: float,
 ) -> None:
-    """The node that watches for others is cut off from the store.
+    """Followers use a replica that left while their watcher is cut off.
 
-    It answers its followers, and what it tells grows old. Nothing was done to
-    them, so they are held to the bound all the while.
+    The watcher still responds to them, with a view that grows old. They meet
+    no fault themselves, so the bound holds for them all the time.
     """
 
     async def play() -> None:
@@ -341,16 +356,16 @@
     before: float,
     later: float,
 ) -> None:
-    """The node that watches for others loses its power.
+    """Followers use a replica that left after their watcher lost power.
 
-    Questions to it are never answered, and no connection ends.
+    Requests to the watcher get no response, and no connection is closed.
     """
 
     async def play() -> None:
         world = World(*bounds)
         await world.start(_FLEET)
         await asyncio.sleep(before)
-        world.dark.add('node-a')
+        world.unreachable.add('node-a')
         await asyncio.sleep(later)
         await _expect_gone(world, 'b-0', ('node-a',))
         await world.stop()
@@ -365,15 +380,18 @@
     bounds: tuple[float, float],
     seed: int,
 ) -> None:
-    """Outages as before, where most nodes hear of the registry through one."""
+    """Replicas that leave after outages get requests from followers.
+
+    Most nodes receive changes of the registry from one watcher.
+    """
 
     async def play() -> None:
-        draw = random.Random(seed)
+        random_source = random.Random(seed)
         world = World(*bounds)
         await world.start(_FLEET)
         for _ in itertools.repeat(None, 6):
-            await _trouble_nodes(world, draw)
-            await asyncio.sleep(world.steady + draw.uniform(0, 2))
+            await _affect_nodes(world, random_source)
+            await asyncio.sleep(world.steady + random_source.uniform(0, 2))
             await _expect_gone(world, 'b-0')
             world.register('b-0')
         await world.stop()
@@ -388,10 +406,11 @@
     bounds: tuple[float, float],
     trouble: Trouble,
 ) -> None:
-    """The store is away for all until entries lapse.
+    """Followers drop entries that expired in an outage.
 
-    A follower's list grows old, so it asks the store itself and meets the
-    outage. A peer's word for it would not do: see the next test.
+    A follower's list grows old during the outage, so it calls the store and
+    meets the outage itself. A report of a peer is not enough: see
+    :func:`test_trouble_of_the_watcher_keeps_nothing`.
     """
 
     async def play() -> None:
@@ -400,13 +419,15 @@
         world.store.troubles.update(dict.fromkeys(_FLEET, trouble))
         await asyncio.sleep(2.4)
         for number in range(4):
-            world.leave(f'b-{number}')
+            world.deregister(f'b-{number}')
         await asyncio.sleep(0.6)
         world.store.troubles.clear()
         for step in range(17):
             await asyncio.sleep(0.1)
             for node in world.nodes.values():
-                assert all(node.offers(f'b-{one}') for one in range(4)), step
+                assert all(
+                    node.offers(f'b-{replica}') for replica in range(4)
+                ), step
         await asyncio.sleep(2)
         assert not any(node.offers('b-0') for node in world.nodes.values())
         await world.stop()
@@ -421,10 +442,10 @@
     bounds: tuple[float, float],
     later: float,
 ) -> None:
-    """The node that watches for others is turned away for two seconds.
+    """Followers keep the entry of a replica that left, as their watcher does.
 
-    A replica leaves meanwhile. The watcher may take its entry for one that
-    lapsed; its followers have met no outage.
+    The store rejects the watcher for two seconds, so it may take the entry
+    for an expired one. Its followers have met no outage.
     """
 
     async def play() -> None:
--- a/tests/platform/test_drain.py
+++ b/tests/platform/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts nothing off and takes nothing that it can't finish."""
+"""A draining node finishes its streams and takes none that it can't finish."""
 
 import asyncio
 
@@ -14,10 +14,11 @@
 
 
 async def test_stopping_node_takes_no_late_streams() -> None:
-    """A node is told to stop; clients still come on open connections.
+    """A draining node accepts a stream that it can't finish.
 
-    A stream that it takes late outlasts the process and is cut off in the
-    middle. Its client is told at once to come back, and not here.
+    Clients still send requests on open connections. A stream accepted late
+    would be cut off at the end of the process, so it is refused with an
+    immediate retry on another connection.
     """
     replicas = [*make_model((0, 8)), *make_plain(1)]
     async with run_node(replicas, grace=10) as node:
@@ -36,7 +37,7 @@
 
 
 async def test_stream_in_progress_is_finished() -> None:
-    """A stream began before the stop and lasts well into it."""
+    """A stream that began before the drain is cut off by it."""
     async with run_node(make_model((0, 8)), grace=4) as node:
         node.replicas['m-0'].pause = 0.3
         async with open_request(node, '/plan/x') as response:
@@ -47,7 +48,10 @@
 
 
 async def test_stopping_node_is_not_ready() -> None:
-    """The balancer learns of the stop at its next question."""
+    """The load balancer sends requests to a draining node.
+
+    The readiness check must fail as soon as the drain begins.
+    """
     async with run_node(make_plain(1), grace=1) as node:
         url = f'http://127.0.0.1:{node.server.readiness.port}/readyz'
         async with node.http.get(url) as response:
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Terms of answers, read from headers."""
+"""Metadata of answers, parsed from their headers."""
 
 import math
 
@@ -22,22 +22,22 @@
     'text', [b'', b'many', b'-1', b'inf', b'nan', b'1e9', b'4,2', b'9' * 400]
 )
 def test_nonsense_is_told_apart_from_no_limit(text: bytes) -> None:
-    """A limit that can't be read is taken for the end of one."""
+    """A limit that can't be parsed is taken for the end of a limit."""
     limit = read_answer(200, [(b'server-limit', text)]).limit
     assert limit is not None
     assert math.isnan(limit)
 
 
 @pytest.mark.parametrize(
-    ('status', 'text', 'rest'),
+    ('status', 'text', 'backoff'),
     [(503, b'3', 3), (503, b'0.25', 0.25), (429, b'1', 1), (503, b'0', 0)],
 )
-def test_rest_is_read(status: int, text: bytes, rest: float) -> None:
-    assert read_answer(status, [(b'retry-after', text)]).backoff == rest
+def test_rest_is_read(status: int, text: bytes, backoff: float) -> None:
+    assert read_answer(status, [(b'retry-after', text)]).backoff == backoff
 
 
 def test_rest_is_asked_by_refusals_only() -> None:
-    """A replica's own answer that names a time keeps a node from it."""
+    """An answer of the replica's application puts the replica into backoff."""
     assert read_answer(200, [(b'retry-after', b'3')]).backoff is None
     assert read_answer(500, [(b'retry-after', b'3')]).backoff is None
 
@@ -46,7 +46,7 @@
     'text', [b'-3', b'soon', b'Thu, 03 Dec 2026 10:00:00 GMT', b'inf', b'']
 )
 def test_unreadable_rest_is_told_apart(text: bytes) -> None:
-    """A time that can't be read is passed over without a line."""
-    rest = read_answer(503, [(b'retry-after', text)]).backoff
-    assert rest is not None
-    assert math.isnan(rest)
+    """A backoff that can't be parsed is ignored without a log line."""
+    backoff = read_answer(503, [(b'retry-after', text)]).backoff
+    assert backoff is not None
+    assert math.isnan(backoff)
--- a/tests/platform/test_leaving_said.py
+++ b/tests/platform/test_leaving_said.py
@@ -1,4 +1,4 @@
-"""Replicas that say in their answers that they leave."""
+"""Replicas that announce in their answers that they are leaving."""
 
 import asyncio
 
@@ -17,23 +17,25 @@
 _LEAVING = {'Server-Leaving': '1'}
 
 
-async def _ask_often(node: RunningNode, path: str, times: int) -> None:
+async def _ask_repeatedly(node: RunningNode, path: str, times: int) -> None:
     for number in range(times):
         answer = await ask(node, path, identity=f'c-{number}')
         assert answer[0] == 200
 
 
-async def _hear(node: RunningNode, path: str, leaver: ReplicaStandIn) -> None:
-    """Ask until a replica has said that it leaves."""
-    leaver.says = _LEAVING
-    before = len(leaver.runs)
-    while len(leaver.runs) == before:
-        await _ask_often(node, path, 1)
+async def _announce_leaving(
+    node: RunningNode, path: str, leaving: ReplicaStandIn
+) -> None:
+    """Send requests until a replica has announced that it is leaving."""
+    leaving.says = _LEAVING
+    before = len(leaving.runs)
+    while len(leaving.runs) == before:
+        await _ask_repeatedly(node, path, 1)
     await wait_until(lambda: node.count('replica-leaving'))
-    leaver.runs.clear()
+    leaving.runs.clear()
 
 
-def _make(path: str) -> list[ReplicaStandIn]:
+def _make_replicas(path: str) -> list[ReplicaStandIn]:
     if path.startswith('/plan'):
         return make_model(*[(0, 8)] * 2)
     return make_plain(2)
@@ -41,60 +43,60 @@
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
 async def test_replica_that_says_so_gets_no_more(path: str) -> None:
-    """A replica that leaves gets requests until its entry tells."""
-    replicas = _make(path)
+    """A leaving replica gets requests until its entry says that it leaves."""
+    replicas = _make_replicas(path)
     async with run_node(replicas) as node:
-        await _hear(node, path, replicas[0])
-        await _ask_often(node, path, 10)
+        await _announce_leaving(node, path, replicas[0])
+        await _ask_repeatedly(node, path, 10)
         assert not replicas[0].runs
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
 async def test_entry_does_not_take_it_back(path: str) -> None:
-    """An entry that is written, gone or back brings a leaver into use."""
-    replicas = _make(path)
+    """A leaving replica is used again when its entry is written or deleted."""
+    replicas = _make_replicas(path)
     async with run_node(replicas) as node:
-        await _hear(node, path, replicas[0])
+        await _announce_leaving(node, path, replicas[0])
         replicas[0].layers = (0, 8) if path == '/plan/x' else None
         replicas[0].register()
         await asyncio.sleep(0.2)
-        await _ask_often(node, path, 5)
+        await _ask_repeatedly(node, path, 5)
         node.store.drop('servers', replicas[0].name)
         await wait_until(lambda: node.count('replica-gone'))
         replicas[0].register()
         await asyncio.sleep(0.2)
-        await _ask_often(node, path, 5)
+        await _ask_repeatedly(node, path, 5)
         assert not replicas[0].runs
 
 
 async def test_it_holds_while_the_store_is_silent() -> None:
-    """A node that hears nothing of the store sends to a leaver."""
+    """A node that is cut off from the store sends to a leaving replica."""
     replicas = make_plain(2)
     async with run_node(replicas) as node:
         node.store.mode = 'silent'
-        await _hear(node, '/ping/x', replicas[0])
-        await _ask_often(node, '/ping/x', 10)
+        await _announce_leaving(node, '/ping/x', replicas[0])
+        await _ask_repeatedly(node, '/ping/x', 10)
         assert not replicas[0].runs
 
 
 async def test_next_life_does_not_leave() -> None:
-    """A replica that started again gets nothing, as the one before left."""
+    """A restarted replica gets no requests as its last incarnation left."""
     replicas = make_plain(2)
     replicas[0].born = 1000
     async with run_node(replicas) as node:
-        await _hear(node, '/ping/x', replicas[0])
+        await _announce_leaving(node, '/ping/x', replicas[0])
         replicas[0].says = {}
         replicas[0].start_again()
         replicas[0].register()
         await wait_until(lambda: node.count('replica-listed') >= 3)
-        await _ask_often(node, '/ping/x', 20)
+        await _ask_repeatedly(node, '/ping/x', 20)
         assert replicas[0].runs
 
 
 async def test_other_words_are_no_leaving() -> None:
-    """Nonsense in an answer takes a sound replica out of use."""
+    """An invalid header in an answer takes a working replica out of use."""
     replicas = make_plain(1)
     replicas[0].says = {'Server-Leaving': 'perhaps'}
     async with run_node(replicas) as node:
-        await _ask_often(node, '/ping/x', 3)
+        await _ask_repeatedly(node, '/ping/x', 3)
         assert len(replicas[0].runs) == 3
--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that name how many requests a second they take."""
+"""Replicas that limit their requests per second."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 
 
 async def test_lines_tell_that_a_limit_was_named() -> None:
-    """Nothing at a node shows that a replica named a limit, or took it back."""
+    """The log doesn't show that a replica set or removed its rate limit."""
     replica = make_plain(1)[0]
     replica.says = {'Server-Limit': '500'}
     async with run_node([replica]) as node:
@@ -41,13 +41,13 @@
         await wait_until(lambda: node.count('replica-unlimited') == 1)
 
 
-def _count_most(replica: ReplicaStandIn, since: float) -> int:
-    """Count the most requests that came within one span."""
+def _count_max(replica: ReplicaStandIn, since: float) -> int:
+    """Count the requests in the busiest span."""
     times = [run.at for run in replica.runs if run.at >= since]
     return max(
         (
-            sum(begun <= at < begun + _SPAN_SECONDS for at in times)
-            for begun in times
+            sum(begin <= at < begin + _SPAN_SECONDS for at in times)
+            for begin in times
         ),
         default=0,
     )
@@ -58,30 +58,38 @@
     path: str,
     seconds: float,
 ) -> list[int]:
-    """Send requests to all nodes in turn, without waiting for answers."""
+    """Send requests to all nodes in turn, without waiting for answers.
+
+    :returns: the status codes of the answers.
+    """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + seconds
+    end = loop.time() + seconds
     asked = []
     for number, node in enumerate(itertools.cycle(nodes)):
-        if loop.time() > ends:
+        if loop.time() > end:
             break
-        one = ask(node, path, identity=f'c-{number}', content=b'%d' % number)
-        asked.append(asyncio.create_task(one))
+        request = ask(
+            node, path, identity=f'c-{number}', content=b'%d' % number
+        )
+        asked.append(asyncio.create_task(request))
         await asyncio.sleep(_PAUSE_SECONDS)
     return [answer[0] for answer in await asyncio.gather(*asked)]
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
 async def test_limit_holds_for_all_nodes_together(path: str) -> None:
-    """A replica in need gets several times what it says that it takes."""
+    """An overloaded replica gets several times its rate limit.
+
+    The limit applies to the requests of all nodes together.
+    """
     streams = path.startswith('/plan')
     replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
     limited = replicas[0]
     async with run_nodes(replicas, 4) as nodes:
         limited.says = {'Server-Limit': f'{_LIMIT}'}
-        named = asyncio.get_running_loop().time()
+        reported_at = asyncio.get_running_loop().time()
         seconds = _NOTICE_SECONDS + 2 * _SPAN_SECONDS
         statuses = await _send_for(nodes, path, seconds)
         assert set(statuses) == {200}
-        most = _count_most(limited, named + _NOTICE_SECONDS)
-        assert 1 <= most <= 1.5 * _LIMIT * _SPAN_SECONDS + 5
+        busiest = _count_max(limited, reported_at + _NOTICE_SECONDS)
+        assert 1 <= busiest <= 1.5 * _LIMIT * _SPAN_SECONDS + 5
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -1,4 +1,4 @@
-"""Clients that send too much, or too slowly, cost the node nothing."""
+"""Limits on the size and the duration of what clients send."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
     'headerTimeoutMs': 300,
     'idleTimeoutMs': 600,
 }
-_HEAD = b'POST /ping/x HTTP/1.1\r\nHost: city.example\r\n'
+_HEADER_START = b'POST /ping/x HTTP/1.1\r\nHost: city.example\r\n'
 
 
 async def _send(node: RunningNode, *parts: bytes) -> bytes:
-    """Send bytes and read all that comes until the node closes."""
+    """Send bytes and read until the node closes the connection."""
     port = node.server.front.port
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     for part in parts:
@@ -31,40 +31,37 @@
 
 
 async def test_header_without_an_end_is_refused() -> None:
-    """A client sends header lines and never an empty one.
-
-    Taken in, they would fill the memory of the node.
-    """
+    """A client that never ends its header fills the memory of the node."""
     async with run_node(make_plain(1), _configure()) as node:
-        answer = await _send(node, _HEAD, b'X-Long: ', b'x' * 3000)
+        answer = await _send(node, _HEADER_START, b'X-Long: ', b'x' * 3000)
         assert answer.startswith(b'HTTP/1.1 431 ')
         assert node.find('caller-refused')['status'].startswith('431')
 
 
 async def test_large_whole_header_is_refused() -> None:
     async with run_node(make_plain(1), _configure()) as node:
-        lines = (_HEAD, b'X-Long: ', b'x' * 3000, b'\r\n\r\n')
+        lines = (_HEADER_START, b'X-Long: ', b'x' * 3000, b'\r\n\r\n')
         answer = await _send(node, b''.join(lines))
         assert answer.startswith(b'HTTP/1.1 431 ')
         assert not node.replicas['b-0'].runs
 
 
 async def test_slow_header_is_refused() -> None:
-    """A client sends a part of a header and falls silent.
+    """Clients that send a part of a header use up all file descriptors.
 
-    Thousands of them would take all descriptors. The node says that nothing
-    ran, which is true, and closes.
+    The node refuses them, with the promise that nothing ran, and closes the
+    connection.
     """
     async with run_node(make_plain(1), _configure()) as node:
-        answer = await _send(node, _HEAD)
+        answer = await _send(node, _HEADER_START)
         assert answer.startswith(b'HTTP/1.1 408 ')
 
 
 async def test_slow_body_is_refused() -> None:
-    """A client sends a part of a body and falls silent."""
+    """A client that sends a part of a body occupies the node for good."""
     async with run_node(make_plain(1), _configure()) as node:
         rest = b'Content-Length: 10\r\n\r\nhalf'
-        answer = await _send(node, _HEAD, rest)
+        answer = await _send(node, _HEADER_START, rest)
         assert answer.startswith(b'HTTP/1.1 408 ')
         assert b'connection: close' in answer
         assert not node.replicas['b-0'].runs
@@ -76,7 +73,7 @@
 
 
 async def test_large_body_is_no_header() -> None:
-    """A body may be larger than a header may be."""
+    """A body beyond the size limit of headers is refused."""
     async with run_node(make_plain(1), _configure()) as node:
         body = b'x' * 9000
         lines = (
@@ -84,6 +81,8 @@
             b'X-Ryelatch-Request-Id: r-1\r\n',
             b'Content-Length: 9000\r\n\r\n',
         )
-        answer = await _send(node, _HEAD, *lines, body[:4000], body[4000:])
+        answer = await _send(
+            node, _HEADER_START, *lines, body[:4000], body[4000:]
+        )
         assert answer.startswith(b'HTTP/1.1 200 ')
         assert node.replicas['b-0'].runs[0].body == body
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -1,4 +1,4 @@
-"""Replicas that start again, over real sockets."""
+"""Replicas that restart, over real sockets."""
 
 import asyncio
 
@@ -12,19 +12,20 @@
 )
 
 
-def _list_orders(node: RunningNode, name: str) -> list[tuple[int, int]]:
+def _list_commands(node: RunningNode, name: str) -> list[tuple[int, int]]:
     return [
-        (order['from'], order['to'])
-        for order in node.replicas[name].orders
-        if order['op'] == 'place'
+        (command['from'], command['to'])
+        for command in node.replicas[name].orders
+        if command['op'] == 'place'
     ]
 
 
 async def test_restarted_replica_is_ordered_at_once() -> None:
-    """A replica starts again under its entry, which still says what it held.
+    """A restarted replica stays without its layers for too long.
 
-    Its refusal is the first sign. It is asked for a report, which tells that
-    it holds nothing, and is ordered to hold its layers again.
+    Its entry still lists the layers of its last incarnation. When it refuses a
+    request, the node requests its report, which shows that it holds no layers,
+    and commands it to load them again.
     """
     replicas = make_model((0, 8))
     replicas[0].born = 1000
@@ -32,18 +33,18 @@
         node.replicas['m-0'].start_again()
         status, _, _ = await ask(node, '/plan/x')
         assert status == 503
-        await wait_until(lambda: _list_orders(node, 'm-0'), 5)
-        order = node.replicas['m-0'].orders[0]
-        assert order['expect'] == 0
+        await wait_until(lambda: _list_commands(node, 'm-0'), 5)
+        command = node.replicas['m-0'].orders[0]
+        assert command['expect'] == 0
         await wait_until(lambda: node.count('replica-listed') >= 3)
         _, body, _ = await ask(node, '/plan/x', identity='r-2')
         assert body == expect_events(5)
 
 
 async def test_answer_of_another_replica_ends_a_life() -> None:
-    """Another replica answers at the address of one that is still listed.
+    """Requests go to a crashed replica until its entry expires.
 
-    Requests went there again and again until the entry lapsed.
+    Another replica answers at the address of the one that is still listed.
     """
     async with run_node(make_model((0, 8), (0, 8))) as node:
         node.replicas['m-0'].name = 'm-9'
--- a/tests/platform/test_moves.py
+++ b/tests/platform/test_moves.py
@@ -1,4 +1,4 @@
-"""Streams leave replicas that are about to go, and run no more than allowed."""
+"""Streams migrate from leaving replicas, within their allowed attempts."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
     replicas: list[ReplicaStandIn],
     events: int = 300,
 ) -> list[ReplicaStandIn]:
-    """Let streams last until the test has done its part."""
+    """Make streams so slow that they last for the whole test."""
     for replica in replicas:
         replica.events = events
         replica.pause = 0.1
@@ -28,58 +28,58 @@
 
 
 def _list_moves(replica: ReplicaStandIn) -> list[str]:
-    return [order['path'] for order in replica.orders if 'path' in order]
+    return [command['path'] for command in replica.orders if 'path' in command]
 
 
 async def test_streams_leave_a_replica_that_leaves() -> None:
-    """A replica in the middle of a path says that it will stop.
+    """A replica that leaves takes the streams through it with it.
 
-    It ends seconds later and takes its streams with it. They are moved to
-    another path meanwhile, and callers see nothing of it.
+    It announces its departure seconds before it stops. The streams must be
+    migrated to another path meanwhile, unnoticed by clients.
     """
     replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
-        head = node.replicas['m-0']
+        first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             path = node.find('exchange-sent')['path']
             leaving = node.replicas[path[1][0]]
             leaving.register('draining')
-            await wait_until(lambda: _list_moves(head))
-            head.pause = 0
+            await wait_until(lambda: _list_moves(first_replica))
+            first_replica.pause = 0
             rest = await response.read()
-        assert leaving.address not in _list_moves(head)[0]
+        assert leaving.address not in _list_moves(first_replica)[0]
         assert rest.endswith(b'token 300\n\n')
-        assert len(head.runs) == 1
+        assert len(first_replica.runs) == 1
 
 
 async def test_streams_leave_layers_that_are_given_up() -> None:
-    """A replica is ordered to hold other layers.
+    """A replica that is to load other layers waits for its streams.
 
-    It loads them when no stream passes through the old ones any more. With
-    long answers its zone had a gap for seven seconds.
+    It loads them once no stream uses its old layers any more. With long
+    answers its zone lacks layers for seven seconds.
     """
     replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
-        head = node.replicas['m-0']
+        first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             path = node.find('exchange-sent')['path']
             released = node.replicas[path[1][0]]
             released.layers = (4, 5)
             released.register()
-            await wait_until(lambda: _list_moves(head))
-            head.pause = 0
+            await wait_until(lambda: _list_moves(first_replica))
+            first_replica.pause = 0
             await response.read()
-        assert released.address not in _list_moves(head)[0]
-        assert len(head.runs) == 1
+        assert released.address not in _list_moves(first_replica)[0]
+        assert len(first_replica.runs) == 1
 
 
 async def test_runs_that_were_cut_off_here_count() -> None:
-    """Two first replicas in turn stand still; both are alive.
+    """A request runs three times on a route that allows two attempts.
 
-    The route allows two. A third run is one too many, though this node cut
-    off both itself and neither replica was lost.
+    Two first replicas stall in turn, and the node itself aborts both runs.
+    They count as attempts although neither replica is lost.
     """
     replicas = make_model((0, 8), (0, 8), (0, 8))
     for replica in replicas:
@@ -91,25 +91,28 @@
         ) as response:
             with pytest.raises(aiohttp.ClientError):
                 await response.read()
-        runs = [run for one in node.replicas.values() for run in one.runs]
+        runs = [
+            run for stand_in in node.replicas.values() for run in stand_in.runs
+        ]
         assert len(runs) == 2
 
 
 async def test_stream_waits_for_a_repair_that_is_near(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The only replica of some layers is lost; an empty one loads them.
+    """A stream starts over although the missing layers are back soon.
 
-    Run anew elsewhere, the stream and all others like it would be read
-    again from the beginning. It waits and is moved to the empty replica.
+    The only replica of some layers is lost, and an empty one loads them. A
+    restart would repeat the prefill of all such streams. The stream has to
+    wait and migrate to the other replica.
     """
     for name in ('MAX_REPAIR_WAIT_SECONDS', 'GIVE_UP_SECONDS'):
         monkeypatch.setattr(f'ryelatch_node.relay._watch.{name}', 60)
     async with run_node(make_model((0, 4), (4, 8), None)) as node:
-        head, lost, spare = node.replicas.values()
+        first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
-        head.stall_after = 2
-        head.stalled_on = lost.address
+        first_replica.stall_after = 2
+        first_replica.stalled_on = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
             await asyncio.sleep(0.3)
@@ -117,14 +120,14 @@
             spare.register()
             body = await response.read()
         assert body == expect_events(5)
-        assert spare.address in _list_moves(head)[0]
-        assert len(head.runs) == 1
+        assert spare.address in _list_moves(first_replica)[0]
+        assert len(first_replica.runs) == 1
 
 
 async def test_last_attempt_is_not_cut_off() -> None:
-    """A stream has used its two attempts and stands still once more.
+    """A stalled stream in its last attempt is aborted.
 
-    Cutting it off could not bring it back. It goes on when its replica does.
+    It can't be resumed elsewhere any more, but goes on if its replica does.
     """
     replicas = make_model((0, 8), (0, 8))
     for replica in replicas:
@@ -142,20 +145,20 @@
 async def test_leaving_first_replica_keeps_its_streams(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first replica of a path leaves, and so does one behind it.
+    """Streams are aborted that would have completed in time.
 
-    The first one takes no orders any more. Streams through both were cut off
-    to be resumed elsewhere, found no place, and callers lost answers that
-    would have ended in time.
+    The first replica of a path and one behind it are leaving, and the first
+    one accepts no commands any more. Streams through both were aborted to be
+    resumed elsewhere, found no path, and clients lost their answers.
     """
     monkeypatch.setattr('ryelatch_node.relay._evacuation.LEAVING_SECONDS', 0)
     replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)), 8)
     async with run_node(replicas) as node:
-        head = node.replicas['m-0']
+        first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             path = node.find('exchange-sent')['path']
-            head.register('draining')
+            first_replica.register('draining')
             node.replicas[path[1][0]].register('draining')
             await wait_until(lambda: node.count('replica-leaving') == 2)
             await response.read()
@@ -164,10 +167,10 @@
 
 
 async def test_only_first_replica_is_tried_again() -> None:
-    """The one first replica that there is fails a request, once.
+    """A request fails after one failure of the only first replica.
 
-    It would be left for others that are sound; as there are none, the second
-    try goes to it again and brings the answer.
+    Retries avoid a replica that failed if there are others. As there are
+    none, the second attempt has to use it again.
     """
     replicas = make_model((0, 8))
     replicas[0].failures = 1
@@ -180,34 +183,34 @@
 async def test_stream_without_a_place_is_not_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The only replica of some layers is lost, and its repair takes long.
+    """A stream is aborted for a resume when there is no other path.
 
-    Cut off to be resumed, the stream had no path to go on: 38 of 69 callers
-    lost their answers so after one crash. It waits, and goes on when the
-    layers are held again.
+    The only replica of some layers is lost, and the repair takes long. 38 of
+    69 clients lost their answers that way after one crash. The stream has to
+    wait until the layers are held again.
     """
     monkeypatch.setattr('ryelatch_node.relay._watch.GIVE_UP_SECONDS', 60)
     async with run_node(make_model((0, 4), (4, 8), None)) as node:
-        head, lost, spare = node.replicas.values()
+        first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
-        head.stall_after = 2
-        head.stalled_on = lost.address
+        first_replica.stall_after = 2
+        first_replica.stalled_on = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
-            # Longer than a stream waits for a repair that is near.
+            # Longer than a stream waits for a repair that is due soon.
             await asyncio.sleep(2)
             spare.layers = (4, 8)
             spare.register()
             body = await response.read()
         assert body == expect_events(5)
-        assert len(head.runs) == 1
+        assert len(first_replica.runs) == 1
 
 
 async def test_stream_without_a_retry_is_moved() -> None:
-    """A replica of a path is lost when this node has no retry left.
+    """A stream is lost when the node's retry budget is used up.
 
-    A new run would be one retry too many. The stream is moved instead, which
-    is none: its first replica goes on with it.
+    A replica of its path is lost. A new run would exceed the budget; a
+    migration is no retry, as the first replica continues the stream.
     """
     model = make_model((0, 4), (4, 8), (0, 8))
     model[2].zone = 'zone-b'
@@ -220,18 +223,20 @@
         replicas[2].stalls = 0
         async with open_request(node, '/plan/x') as response:
             while budget.spend():
-                """Leave none."""
+                """Use up the retry budget."""
             body = await response.read()
         assert body == expect_events(5)
-        runs = [run for one in node.replicas.values() for run in one.runs]
+        runs = [
+            run for stand_in in node.replicas.values() for run in stand_in.runs
+        ]
         assert len(runs) == 1
 
 
 async def test_ended_stream_is_not_interrupted() -> None:
-    """A stream ends while an order to move it is on its way.
+    """The watch of streams crashes on a stream that has just finished.
 
-    The order fails, and there is nothing left to cut off; trying to ended
-    the part of the node that looks after streams.
+    The stream finishes while the command to migrate it is in transit. The
+    command fails, and there is nothing left to abort.
     """
     async with run_node(make_model((0, 8))) as node:
         async with open_request(node, '/plan/x') as response:
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the folder that translates them."""
+"""The platform's names occur only in the package that translates them."""
 
 import re
 from pathlib import Path
@@ -29,12 +29,12 @@
 
 
 def test_no_field_name_outside() -> None:
-    """Fields in the platform's own spelling: words joined by capitals."""
+    """A field name of the platform, in camel case, is used in the product."""
     source = Path(objects.__file__).read_text()
     names = set(re.findall(r"name='(\w*[a-z][A-Z]\w*)'", source))
     assert len(names) > 15
-    joined = '\n'.join(path.read_text() for path in _list_product())
-    used = {name for name in names if re.search(rf"['\"]{name}['\"]", joined)}
+    text = '\n'.join(path.read_text() for path in _list_product())
+    used = {name for name in names if re.search(rf"['\"]{name}['\"]", text)}
     assert not used
 
 
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -1,4 +1,4 @@
-"""Nodes that learn from each other what the store says."""
+"""Nodes that announce the store's changes to each other."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,10 @@
 async def _run_second(
     node: RunningNode,
 ) -> AsyncIterator[tuple[App, list[dict[str, Any]]]]:
-    """Start a second node that learns from the first one."""
+    """Start a second node that follows the first one.
+
+    :returns: its application and its log lines.
+    """
     lines: list[dict[str, Any]] = []
 
     def write(line: bytes) -> int:
@@ -46,14 +49,14 @@
         await wait_until(
             lambda: app.find('configuration', ConfigurationView).version
         )
-        _introduce(node, app)
+        _announce_first(node, app)
         yield app, lines
     finally:
         await app.stop()
 
 
-def _introduce(node: RunningNode, app: App) -> None:
-    """Let both know the first one, which watches for others."""
+def _announce_first(node: RunningNode, app: App) -> None:
+    """Make the first node, which watches for others, known to both."""
     address = node.app.find('news', News).address
     first = NodeEntry(
         'node-a', 'zone-a', f'{address.host}:{address.port}', 1000
@@ -71,12 +74,12 @@
     monkeypatch.setattr(
         'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 1
     )
-    # The first watch, before the peer is known, is not to last for long.
+    # Keeps the first watch short, which is sent before the peer is known.
     monkeypatch.setattr('ryelatch_platform._kinds.REGISTRY_WAIT', 0.5)
 
 
 async def test_followers_make_no_calls() -> None:
-    """Two nodes, one of which watches for both."""
+    """A node calls the store although another one watches for both."""
     async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         before = _count_watches(node, 'servers')
@@ -87,7 +90,7 @@
 
 
 async def test_changes_reach_followers() -> None:
-    """A key goes and a replica leaves; the follower hears of both."""
+    """A follower misses a revoked key or a replica that left."""
     async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         node.store.put('config', 'main', make_configuration(7, tenants=[]))
@@ -99,33 +102,36 @@
 
 
 async def test_lost_watcher_is_left() -> None:
-    """The node that watches for others is killed; the follower watches."""
+    """A follower waits for a watcher that was killed.
+
+    It has to watch the store itself.
+    """
     async with (
         run_node(make_plain(2)) as node,
-        _run_second(node) as (app, found),
+        _run_second(node) as (app, lines),
     ):
         await asyncio.sleep(2.5)
         await node.app.find('news', News).stop()
         node.store.drop('servers', 'b-0')
         replicas = app.find('replicas', ReplicaView)
         await wait_until(lambda: len(replicas.replicas) == 1, 3)
-        assert any(line['name'] == 'watcher-left' for line in found)
+        assert any(line['name'] == 'watcher-left' for line in lines)
 
 
 async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The watcher is cut off from the store and goes on to answer.
+    """Followers rely on a watcher that is cut off from the store.
 
-    A replica that left would get work from its followers, and a key that was
-    taken away be accepted.
+    The watcher still responds. Its followers would send requests to a replica
+    that has left, and accept a revoked key.
     """
     async with (
         run_node(make_plain(2)) as node,
-        _run_second(node) as (app, found),
+        _run_second(node) as (app, lines),
     ):
         await asyncio.sleep(2.5)
         store = node.app.find('store', object)
 
-        async def hang(*_: Any, **given: Any) -> None:
+        async def hang(*_: Any, **options: Any) -> None:
             await asyncio.Event().wait()
 
         monkeypatch.setattr(store, '_call', hang)
@@ -133,12 +139,12 @@
         node.store.drop('servers', 'b-0')
         replicas = app.find('replicas', ReplicaView)
         await wait_until(lambda: len(replicas.replicas) == 1, 3)
-        # The follower has asked the store itself by now, as the age of its
-        # list demands, and leaves the peer at the next question.
+        # By now the follower's list is so old that it has called the store
+        # itself; it abandons the peer at its next request.
         await wait_until(
             lambda: any(
                 line['name'] == 'watcher-left' and line['reason'] == 'behind'
-                for line in found
+                for line in lines
             ),
             3,
         )
@@ -147,11 +153,11 @@
 async def test_node_cut_off_asks_its_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store turns one node away, and serves the other.
+    """A node that the store rejects refuses clients although a peer could help.
 
-    Its callers were refused after 3.7 s, as their keys were unconfirmed, and
-    also where a configuration changed meanwhile that is too large to be
-    passed on to those who can read it themselves.
+    It refused them after 3.7 s, as their keys were unconfirmed. Peers must also
+    pass on a changed configuration that is so large that they don't send it
+    to nodes that can read it themselves.
     """
     async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
         monkeypatch.setattr(
@@ -159,7 +165,7 @@
         )
         store = app.find('store', object)
 
-        async def fail(*_: Any, **given: Any) -> Any:
+        async def fail(*_: Any, **options: Any) -> Any:
             store.availability.note_out('cut off', 0)  # type: ignore[attr-defined]
             return Err(StoreFailure.OUT)
 
@@ -180,7 +186,7 @@
 
 
 async def test_bad_frames_end_a_connection_only() -> None:
-    """Something that is no peer connects."""
+    """A client that is no peer does more harm than losing its connection."""
     async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
         address = node.app.find('news', News).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
@@ -193,11 +199,11 @@
 
 
 def test_node_that_is_asked_watches() -> None:
-    """Nodes start together, and the first one's count misses the others.
+    """All followers call the store every two seconds, at the same moment.
 
-    It watches as for itself alone. The others know it for the one that
-    watches for them; they took what it told for too old, left it every two
-    seconds and asked the store, all of them at the same moment.
+    Nodes start together, and the first one doesn't have the others in its
+    list, so it watches only for itself. The others follow it. They abandoned
+    it each time, as its responses were too old for them.
     """
 
     async def play() -> None:
@@ -207,9 +213,11 @@
         await asyncio.sleep(2)
         before = len(world.store.calls)
         await asyncio.sleep(20)
-        left = [node.count('watcher-left') for node in world.nodes.values()]
-        assert left == [0, 0, 0, 0]
-        # Two kinds of object, a watch of one second each, and one to spare.
+        abandoned = [
+            node.count('watcher-left') for node in world.nodes.values()
+        ]
+        assert abandoned == [0, 0, 0, 0]
+        # Two kinds of object with watches of one second, and a tenth more.
         assert len(world.store.calls) - before <= 2 * 20 * 1.1
         await world.stop()
 
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""Nodes as the platform runs them: real processes, signals, settings files."""
+"""Nodes as real processes, with signals and settings files."""
 
 import asyncio
 import json
@@ -40,9 +40,9 @@
 
 @dataclass
 class NodeProcess:
-    """A running node.
+    """The process of a running node.
 
-    :param host: a loopback address of its own, so that no port is shared.
+    :param host: the node's own loopback address, so that nodes share no port.
     """
 
     name: str
@@ -50,9 +50,9 @@
     process: asyncio.subprocess.Process
 
     async def stop(self, number: signal.Signals) -> list[dict[str, object]]:
-        """Send a signal and wait for the end.
+        """Send a signal and wait until the process terminates.
 
-        :returns: the lines that it wrote.
+        :returns: the log lines that the process wrote.
         """
         self.process.send_signal(number)
         output, _ = await self.process.communicate()
@@ -105,7 +105,7 @@
     http: ClientSession
 
     def open(self, number: int, path: str, identity: str) -> object:
-        """Open a request at a node."""
+        """Send a request to a node."""
         headers = {
             'Host': 'city.example',
             'Api-Key': KEY,
@@ -118,7 +118,7 @@
 
 @asynccontextmanager
 async def run_processes(folder: Path) -> AsyncIterator[RunningProcesses]:
-    """Start everything, and end what is left of it by its process id."""
+    """Start a store, replicas and two nodes, and stop them at the end."""
     store = ObjectStore()
     store.put('config', 'main', make_configuration())
     runners = []
@@ -150,10 +150,10 @@
 
 
 async def test_stop_of_a_process_cuts_nothing(tmp_path: Path) -> None:
-    """A node is stopped as the platform does it, with a stream in progress.
+    """SIGTERM cuts off a stream in progress.
 
-    The stream goes on to its end, the process ends with 0, and its lines
-    begin with its start and end with its stop.
+    The stream must complete, the process exit with 0, and its log include the
+    node's start and end with its stop.
     """
     async with run_processes(tmp_path) as running:
         async with running.open(0, '/plan/x', 'r-1') as response:  # type: ignore
@@ -171,10 +171,11 @@
 
 
 async def test_kill_of_a_process_is_seen_and_survived(tmp_path: Path) -> None:
-    """A node loses its power in the middle of a stream.
+    """The kill of a node looks like a complete answer, or stops another node.
 
-    Its client sees that the answer isn't whole; the other node serves on,
-    also a booking, and its replicas are freed of the lost stream.
+    A node is killed in the middle of a stream. Its client must see that the
+    answer is incomplete. The other node must go on, also with a booking, and
+    the replicas must be free of the lost stream.
     """
     async with run_processes(tmp_path) as running:
         async with running.open(0, '/plan/x', 'r-1') as response:  # type: ignore
@@ -186,12 +187,12 @@
             assert await response.read() == expect_events(5)
         async with running.open(1, '/book/x', 'r-3') as response:  # type: ignore
             assert response.status == 200
-        runs = [run for one in running.replicas for run in one.runs]
+        runs = [run for replica in running.replicas for run in replica.runs]
         assert sorted(run.identity for run in runs) == ['r-1', 'r-2', 'r-3']
 
 
 async def test_wrong_settings_end_the_process(tmp_path: Path) -> None:
-    """A settings file lacks an address: the process says so and ends."""
+    """A process with an incomplete settings file starts, or hides the cause."""
     path = tmp_path / 'wrong.toml'
     path.write_text('nodeName = "x"\n')
     process = await asyncio.create_subprocess_exec(
@@ -201,19 +202,19 @@
         stderr=asyncio.subprocess.PIPE,
         env={**os.environ, 'RYELATCH_NODE_FILE': str(path)},
     )
-    _, told = await process.communicate()
+    _, output = await process.communicate()
     assert process.returncode == 2
-    assert b'wrong.toml' in told
-    assert b'zone' in told
+    assert b'wrong.toml' in output
+    assert b'zone' in output
 
 
 async def test_notice_during_the_start_is_survived() -> None:
-    """The settings change while a process loads its libraries.
+    """SIGHUP terminates a process that is still loading its libraries.
 
-    The signal ended it, as it had not said yet what to do with one. Loading
+    It announces changed settings, and no handler is installed yet. Loading
     takes most of the start, so the signal is ignored before it begins.
     """
-    asking = (
+    script = (
         'import runpy, signal, sys\n'
         'class Finder:\n'
         '    def find_spec(self, name, path=None, target=None):\n'
@@ -224,24 +225,24 @@
         'runpy.run_module("ryelatch_platform", run_name="__main__")\n'
     )
     process = await asyncio.create_subprocess_exec(
-        sys.executable, '-c', asking, stdout=asyncio.subprocess.PIPE
+        sys.executable, '-c', script, stdout=asyncio.subprocess.PIPE
     )
-    told, _ = await process.communicate()
-    assert told == b'SIG_IGN\n'
+    output, _ = await process.communicate()
+    assert output == b'SIG_IGN\n'
 
 
 async def test_clients_wait_while_libraries_load(tmp_path: Path) -> None:
-    """All nodes are killed and start again; cut clients come back at once.
+    """Clients are refused connections while nodes load their libraries.
 
-    They were refused a connection for the time in which libraries load, half
-    a second, and lost their requests, as they try only once more.
+    All nodes are killed and restarted, and clients retry at once. Loading
+    takes half a second; clients retry only once, so their requests are lost.
     """
     host = f'127.{random.randint(1, 250)}.{random.randint(0, 250)}.7'
     path = tmp_path / 'node.toml'
     path.write_text(
         _SETTINGS.format(name='node', host=host, store='127.0.0.1:1', grace=1)
     )
-    connecting = (
+    script = (
         'import runpy, socket, sys\n'
         'class Finder:\n'
         '    def find_spec(self, name, path=None, target=None):\n'
@@ -255,9 +256,9 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         '-c',
-        connecting,
+        script,
         stdout=asyncio.subprocess.PIPE,
         env={**os.environ, 'RYELATCH_NODE_FILE': str(path)},
     )
-    told, _ = await process.communicate()
-    assert told == b'connected\n'
+    output, _ = await process.communicate()
+    assert output == b'connected\n'
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What all nodes know of requests under which replicas end."""
+"""Quarantine of requests that crash replicas, shared by all nodes."""
 
 import asyncio
 import contextlib
@@ -44,46 +44,50 @@
         yield node
 
 
-async def _end_three(node: RunningNode) -> None:
-    """Let replicas end under a request until it is refused."""
+async def _crash_three(node: RunningNode) -> None:
+    """Crash replicas with a request until it is quarantined."""
     for number in range(3):
         await ask(node, '/ping/x', identity=f'e-{number}', content=_CRASHING)
     await wait_until(lambda: node.count('request-quarantined'))
 
 
-def _count_ended(node: RunningNode) -> int:
-    return sum(one.ended for one in node.replicas.values())
+def _count_crashed(node: RunningNode) -> int:
+    return sum(replica.ended for replica in node.replicas.values())
 
 
 async def test_refusal_tells_that_it_did_not_run() -> None:
-    """The refusal promises that this attempt has not run, which is true.
+    """The refusal of a quarantined request doesn't promise that it didn't run.
 
-    The line has what led to it, so an operator finds the cause by the id.
+    Its log line must name the crashes that led to it, so that an operator
+    finds the cause by the request's id.
     """
     async with _run_node(make_plain(6)) as node:
-        await _end_three(node)
+        await _crash_three(node)
         status, body, headers = await ask(
             node, '/ping/x', identity='again', content=_CRASHING
         )
         assert (status, float(headers['retry-after'])) == (503, 60)
         assert b'replicas ended under this request' in body
-        refused = (one for one in node.lines if one.get('request') == 'again')
+        refused = (
+            logged for logged in node.lines if logged.get('request') == 'again'
+        )
         line = next(refused)
         assert line['name'] == 'exchange-refused'
         assert line['digest'] == _DIGEST
         assert len(line['ended']) == 3
-        assert _count_ended(node) == 3
+        assert _count_crashed(node) == 3
         assert node.find('request-quarantined')['begun'] == line['ended']
 
 
 async def test_others_are_served_on() -> None:
-    """Another account asks the same, and the same account asks other things.
+    """A quarantined request of one account blocks other requests.
 
-    If one account could get what another asks for refused, it would have to
-    send but three bad requests.
+    Neither the same request of another account nor other requests of the
+    same account may be refused. Otherwise three bad requests of one account
+    would block the requests of another.
     """
     async with _run_node(make_plain(6)) as node:
-        await _end_three(node)
+        await _crash_three(node)
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
         for replica in node.replicas.values():
@@ -95,59 +99,60 @@
 
 
 async def test_node_that_starts_knows_what_is_refused() -> None:
-    """All nodes are killed at once, and start again with nothing known.
+    """Nodes lose the quarantine when all of them restart.
 
-    Three more replicas would end under the request at each such start.
+    At each such restart the request would crash three more replicas.
     """
     async with _run_node(make_plain(6)) as node:
-        await _end_three(node)
+        await _crash_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
         async with run_peer(node, 'node-b') as peer:
             await wait_until(lambda: peer.count('request-quarantined'))
             status, _, _ = await ask(peer, '/ping/x', content=_CRASHING)
             assert status == 503
-            assert _count_ended(node) == 3
+            assert _count_crashed(node) == 3
 
 
 async def test_operator_lets_a_request_in_again() -> None:
-    """A replica's software is mended; the object is deleted by hand."""
+    """A request stays quarantined after an operator deleted its object."""
     async with (
         _run_node(make_plain(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
-        await _end_three(node)
+        await _crash_three(node)
         await wait_until(lambda: peer.count('request-quarantined'))
         for replica in node.replicas.values():
             replica.ends_on = b''
         node.store.drop(_KIND, _DIGEST)
         await wait_until(lambda: node.count('request-released'))
         await wait_until(lambda: peer.count('request-released'))
-        for one in (node, peer):
-            status, _, _ = await ask(one, '/ping/x', content=_CRASHING)
+        for serving in (node, peer):
+            status, _, _ = await ask(serving, '/ping/x', content=_CRASHING)
             assert status == 200
 
 
 async def test_ends_of_an_outage_are_told_after_it() -> None:
-    """Replicas end under a request while the store answers nobody.
+    """Crashes during an outage of the store are never shared.
 
-    This node refuses it at once, the others when the store is back.
+    The node that saw them refuses the request at once, the others when the
+    store is back.
     """
     async with (
         _run_node(make_plain(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
         node.store.mode = 'busy'
-        await _end_three(node)
+        await _crash_three(node)
         assert not peer.count('request-quarantined')
         node.store.mode = 'ok'
         await wait_until(lambda: peer.count('request-quarantined'))
 
 
 async def test_lost_answer_of_the_store_is_settled() -> None:
-    """A write takes effect, and its answer is lost."""
+    """A write whose response is lost is dropped or recorded twice."""
     async with _run_node(make_plain(6)) as node:
         node.store.lose_answers = 1
-        await _end_three(node)
+        await _crash_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
         await wait_until(
             lambda: len(node.store.get(_KIND, _DIGEST)['spec']['begun']) == 3
@@ -155,10 +160,9 @@
 
 
 async def test_lost_connections_are_no_ends() -> None:
-    """Replicas cut answers off and serve on, or the way there is cut.
+    """Lost connections to running replicas count as crashes.
 
-    Taken for ends, a link that loses connections would have all that goes
-    over it refused.
+    All requests over a link that loses connections would be quarantined.
     """
     replicas = make_plain(4)
     async with _run_node(replicas) as node:
@@ -175,37 +179,37 @@
 
 
 async def test_stream_that_ran_is_not_suspected() -> None:
-    """A long stream loses one replica after the other, and goes on.
+    """A long stream is suspected as it loses one replica after another.
 
-    VMs are taken back one by one, and each ends in the middle of streams
-    that began long before. None of them is why.
+    VMs are reclaimed one by one, in the middle of streams that began long
+    before. The streams are not the cause.
     """
     replicas = make_model(*[(0, 8)] * 6)
     for replica in replicas:
         replica.events = 40
         replica.pause = 0.05
     async with _run_node(replicas) as node:
-        asked = asyncio.create_task(ask(node, '/plan/x'))
+        asking = asyncio.create_task(ask(node, '/plan/x'))
         for _ in range(3):
             running = await _find_running(replicas)
             await asyncio.sleep(0.6)
             await running.end()
-        status, body, _ = await asked
+        status, body, _ = await asking
         assert (status, body.count(b'id: ')) == (200, 40)
         assert not node.count('request-suspected')
 
 
 async def test_stream_that_is_cut_off_first_counts() -> None:
-    """A replica ends; one stream's connection breaks after the others'.
+    """The request that crashed a replica isn't suspected.
 
-    The node knows by then that the replica is lost, and cuts the stream off
-    itself. Where that was the request that ended it, nobody would be blamed.
+    Its connection breaks after those of other streams. By then the node has
+    recorded that the replica is lost, and aborts the stream itself.
     """
     replicas = make_model((0, 8), (0, 8))
     async with _run_node(replicas) as node:
         for replica in replicas:
             replica.hang = True
-        asked = asyncio.create_task(ask(node, '/plan/x'))
+        asking = asyncio.create_task(ask(node, '/plan/x'))
         running = await _find_running(replicas)
         assert running.stop_listening is not None
         await running.stop_listening()
@@ -213,13 +217,14 @@
         view.suspect(view.replicas[running.name], 'ended', full=False)
         await wait_until(lambda: node.count('request-suspected'))
         assert node.find('request-suspected')['replica'] == running.name
-        asked.cancel()
+        asking.cancel()
 
 
 async def test_slow_replica_is_no_alibi() -> None:
-    """Slow replicas take most of a second from an answer's head to their end.
+    """A request that crashes slow replicas isn't suspected.
 
-    Counted from the head, the request would have run for too long to be why.
+    They crash most of a second after they sent the header of the answer.
+    Counted from the header, the request ran too long to be the cause.
     """
     replicas = make_model(*[(0, 8)] * 4)
     for replica in replicas:
@@ -229,13 +234,13 @@
             identity = f'c-{number}'
             await ask(node, '/plan/x', identity=identity, content=_CRASHING)
         assert node.count('request-quarantined')
-        assert _count_ended(node) == 3
+        assert _count_crashed(node) == 3
 
 
 async def test_popular_request_is_not_refused() -> None:
-    """Many ask for the same; replicas end for another reason meanwhile.
+    """A frequent request is quarantined as replicas crash for other reasons.
 
-    Each end takes one of those many along, and none of them is why.
+    Each crash interrupts one of many identical requests.
     """
     replicas = make_plain(6)
     async with _run_node(replicas) as node:
@@ -250,20 +255,20 @@
             await ask(node, '/book/x', identity=f'lost-{loss}')
             for replica in replicas:
                 replica.ends_on = b''
-        assert _count_ended(node) == 4
+        assert _count_crashed(node) == 4
         assert not node.count('request-suspected')
         assert not node.count('request-quarantined')
 
 
 async def test_one_attempt_ends_few_replicas() -> None:
-    """One attempt of a client ended five replicas where its route allows two.
+    """One client request crashes five replicas on a route with two attempts.
 
-    A run that ended with its replica did not count among the attempts, as a
-    lost replica is no reason to fail its streams.
+    Runs lost with their replica weren't counted as attempts, as a stream need
+    not fail when its replica is lost.
     """
     async with _run_node(make_model(*[(0, 8)] * 8)) as node:
         await ask(node, '/plan/x', content=_CRASHING)
-        assert _count_ended(node) == 2
+        assert _count_crashed(node) == 2
 
 
 @pytest.mark.parametrize(
@@ -279,13 +284,13 @@
 async def test_object_that_can_not_be_read_refuses_none(
     name: str, spec: Any
 ) -> None:
-    """Anyone may write to the store; what is read of it is known again."""
+    """An unreadable object in the store quarantines or disables something."""
     async with _run_node(make_plain(6)) as node:
         node.store.put(_KIND, name, spec)
         await wait_until(lambda: node.count('configuration-refused'))
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
-        await _end_three(node)
+        await _crash_three(node)
         await wait_until(lambda: _holds_three(node))
 
 
@@ -297,6 +302,6 @@
 
 
 async def _find_running(replicas: list[ReplicaStandIn]) -> ReplicaStandIn:
-    """Wait until one of some replicas has a stream."""
-    await wait_until(lambda: any(one.streams for one in replicas))
-    return next(one for one in replicas if one.streams)
+    """Wait until one of the replicas has a stream, and return it."""
+    await wait_until(lambda: any(replica.streams for replica in replicas))
+    return next(replica for replica in replicas if replica.streams)
--- a/tests/platform/test_quarantine_reach.py
+++ b/tests/platform/test_quarantine_reach.py
@@ -1,9 +1,8 @@
-"""How soon all nodes refuse a request under which replicas have ended.
+"""Time until all nodes refuse a request that has crashed replicas.
 
-Each attempt of its client comes to another node, so ends are seen by one node
-each. From the third on no node may send it, and those in touch with the store
-have the time for which trouble excuses them, 3 s in small fleets and 5 s in
-large ones, to hear of it.
+Each attempt of its client reaches another node, so each crash is seen by one
+node only. After the third crash no node may send the request. Nodes that reach
+the store have 3 s in small fleets and 5 s in large ones to receive the crashes.
 """
 
 import asyncio
@@ -23,14 +22,16 @@
 
 @dataclass(frozen=True)
 class _Fleet:
-    """Nodes, and the time in which they have to hear.
+    """A fleet, and the time within which its nodes must refuse the request.
 
-    :param touch: seconds.
+    :param nodes: number of nodes.
+    :param drain: see :class:`virtual.world.World`.
+    :param bound: that time in seconds.
     """
 
     nodes: int
     drain: float
-    touch: float
+    bound: float
 
 
 _SMALL = _Fleet(7, 2, 3)
@@ -41,40 +42,43 @@
 async def _start(fleet: _Fleet) -> World:
     names = [f'node-{number:02}' for number in range(fleet.nodes)]
     zones = {name: f'zone-{place % 3}' for place, name in enumerate(names)}
-    world = World(fleet.drain, fleet.touch, zones=zones, refuses=True)
+    world = World(
+        fleet.drain, fleet.bound, zones=zones, follows_quarantine=True
+    )
     await world.start(names)
     return world
 
 
-def _see_ends(world: World, names: Iterable[str]) -> None:
-    """Let nodes see an end each."""
+def _record_crashes(world: World, names: Iterable[str]) -> None:
+    """Record one crash at each of some nodes."""
     for number, name in enumerate(names):
         world.nodes[name].quarantine.record_crash(
             _DIGEST, f'r-{number}', RequestPhase.BEGUN, 'c-1'
         )
 
 
-def _list_sending(world: World, but: Iterable[str] = ()) -> list[str]:
-    """Name the nodes that would send the request on."""
+def _list_forwarding(world: World, exempt: Iterable[str] = ()) -> list[str]:
+    """List the nodes that would forward the request."""
     return [
         name
         for name, node in world.nodes.items()
-        if name not in but and not node.quarantine.find_refused(_DIGEST)
+        if name not in exempt and not node.quarantine.find_refused(_DIGEST)
     ]
 
 
 @_FLEETS
 def test_ends_seen_at_once_by_three(fleet: _Fleet) -> None:
-    """Copies of a request are under way at three nodes at the same moment.
+    """Three crashes at the same moment, at three nodes, are shared too late.
 
-    Each sees one end and keeps it for a while, as most come to nothing.
+    Each node sees one crash and holds it back for a while, as most single
+    crashes have other causes.
     """
 
     async def play() -> None:
         world = await _start(fleet)
-        _see_ends(world, ('node-01', 'node-02', 'node-03'))
-        await asyncio.sleep(fleet.touch / 2)
-        assert not _list_sending(world)
+        _record_crashes(world, ('node-01', 'node-02', 'node-03'))
+        await asyncio.sleep(fleet.bound / 2)
+        assert not _list_forwarding(world)
         await world.stop()
 
     run(play())
@@ -82,7 +86,10 @@
 
 @_FLEETS
 def test_ends_seen_one_after_the_other(fleet: _Fleet) -> None:
-    """The client comes back every second; the third end is told at once."""
+    """The third crash isn't shared at once.
+
+    The client retries every second, each time at another node.
+    """
 
     async def play() -> None:
         world = await _start(fleet)
@@ -92,7 +99,7 @@
                 _DIGEST, f'r-{number}', RequestPhase.BEGUN, 'c-1'
             )
             await asyncio.sleep(1)
-        assert not _list_sending(world)
+        assert not _list_forwarding(world)
         await world.stop()
 
     run(play())
@@ -101,20 +108,21 @@
 @_FLEETS
 @pytest.mark.parametrize('trouble', [Trouble.SILENT, Trouble.BUSY])
 def test_store_is_out_as_replicas_end(fleet: _Fleet, trouble: Trouble) -> None:
-    """The store answers nobody from before the first end to after the last.
+    """Crashes during an outage are not shared in time after it.
 
-    Nodes are held to the bound when it has been back for that time.
+    The outage begins before the first crash and ends after the last one. The
+    bound holds from the end of the outage.
     """
 
     async def play() -> None:
         world = await _start(fleet)
         world.store.troubles.update(dict.fromkeys(world.nodes, trouble))
         await asyncio.sleep(1)
-        _see_ends(world, ('node-01', 'node-02', 'node-03'))
+        _record_crashes(world, ('node-01', 'node-02', 'node-03'))
         await asyncio.sleep(4)
         world.store.troubles.clear()
-        await asyncio.sleep(fleet.touch)
-        assert not _list_sending(world)
+        await asyncio.sleep(fleet.bound)
+        assert not _list_forwarding(world)
         await world.stop()
 
     run(play())
@@ -122,28 +130,31 @@
 
 @_FLEETS
 def test_store_is_slow_and_forgets(fleet: _Fleet) -> None:
-    """Each answer takes 0.2 s, and history is dropped between the ends."""
+    """Crashes are missed with a slow store that drops its history.
+
+    Each response takes 0.2 s; the history is dropped between two crashes.
+    """
 
     async def play() -> None:
         world = await _start(fleet)
         world.store.delay = 0.2
-        _see_ends(world, ('node-01', 'node-02'))
+        _record_crashes(world, ('node-01', 'node-02'))
         await asyncio.sleep(0.5)
         world.store.forget_history()
         world.nodes['node-04'].quarantine.record_crash(
             _DIGEST, 'r-9', RequestPhase.BEGUN, 'c-1'
         )
-        await asyncio.sleep(fleet.touch)
-        assert not _list_sending(world)
+        await asyncio.sleep(fleet.bound)
+        assert not _list_forwarding(world)
         await world.stop()
 
     run(play())
 
 
 def test_peers_that_watch_are_lost() -> None:
-    """The nodes that watch for others lose their power as replicas end.
+    """Crashes are missed as the nodes that watch for others lose power.
 
-    Those who ask them find out, and ask the next ones or the store.
+    Their followers have to detect that and follow other nodes or the store.
     """
 
     async def play() -> None:
@@ -151,11 +162,11 @@
         lost = {'node-00', 'node-01', 'node-02'}
         await asyncio.sleep(3)
         for name in lost:
-            world.dark.add(name)
+            world.unreachable.add(name)
             await world.nodes[name].follower.stop()
-        _see_ends(world, ('node-10', 'node-20', 'node-30'))
-        await asyncio.sleep(_LARGE.touch)
-        assert not _list_sending(world, but=lost)
+        _record_crashes(world, ('node-10', 'node-20', 'node-30'))
+        await asyncio.sleep(_LARGE.bound)
+        assert not _list_forwarding(world, exempt=lost)
         await world.stop()
 
     run(play())
@@ -163,9 +174,10 @@
 
 @_FLEETS
 def test_calls_for_ends_are_few(fleet: _Fleet) -> None:
-    """Replicas end under requests that then run on elsewhere, as most do.
+    """The loss of many replicas causes many calls to the store.
 
-    Nothing of them is told, so a large loss costs no call to the store.
+    Most interrupted requests then run elsewhere; their crashes must not be
+    written.
     """
 
     async def play() -> None:
@@ -188,5 +200,5 @@
 
 
 def _changes_an_object(path: str) -> bool:
-    """Whether a call, not the first one, can be none but a write."""
+    """Return whether a call after the initial ones can only be a write."""
     return path.startswith(QUARANTINE_KIND) and 'watch=' not in path
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -1,4 +1,4 @@
-"""Entries of the registry that replicas did not write."""
+"""Registry entries that are invalid or were not written by replicas."""
 
 import json
 from typing import Any
@@ -89,13 +89,13 @@
     ],
 )
 def test_entry_of_other_types_names_no_replica(changes: Any) -> None:
-    """An entry of another writer stands beside a sound one."""
+    """An entry with wrong types is used, or hides a valid one."""
     registry, view, lines = _make_registry()
     bad = _make_object('i-9', {**_ENTRY, 'addr': '10.0.0.9:1', **changes})
     registry.replace(
         _read_page(bad, _make_object('i-1', _ENTRY)), unanswered=NEVER
     )
-    assert [one.entry for one in view.replicas.values()] == ['i-1']
+    assert [replica.entry for replica in view.replicas.values()] == ['i-1']
     refused = [line for line in lines if line['name'] == 'entry-refused']
     assert len(refused) == 1
     assert view.refused == 1
@@ -103,26 +103,31 @@
 
 @pytest.mark.parametrize('missing', sorted(set(_ENTRY) - {'born'}))
 def test_entry_without_a_field_names_no_replica(missing: str) -> None:
-    """A copy of a sound entry lacks a field; the sound one holds.
+    """An incomplete copy of an entry displaces the valid entry.
 
-    Taken for a replica that came back at the address, the copy would end the
-    sound one. Without its kind of accelerator it is taken for another kind
-    of replica, and no path uses it.
+    Taken for a restarted replica at the same address, the copy would mark the
+    valid one as crashed. A copy without the kind of accelerator counts as
+    another kind of replica, which no path uses.
     """
     registry, view, _ = _make_registry()
-    copy = {name: said for name, said in _ENTRY.items() if name != missing}
+    incomplete = {
+        name: value for name, value in _ENTRY.items() if name != missing
+    }
     registry.replace(
-        _read_page(_make_object('i-1', _ENTRY), _make_object('i-9', copy)),
+        _read_page(
+            _make_object('i-1', _ENTRY), _make_object('i-9', incomplete)
+        ),
         unanswered=NEVER,
     )
-    assert any(one.entry == 'i-1' for one in view.replicas.values())
+    assert any(replica.entry == 'i-1' for replica in view.replicas.values())
     assert not any(
-        one.entry == 'i-9' and one.accelerator for one in view.replicas.values()
+        replica.entry == 'i-9' and replica.accelerator
+        for replica in view.replicas.values()
     )
 
 
 def test_refused_entry_is_told_once() -> None:
-    """A foreign entry is written again and again."""
+    """A foreign entry that is written often logs a line each time."""
     registry, view, lines = _make_registry()
     found = _read_page(_make_object('i-9', {'service': 1}))[0]
     for _ in range(50):
@@ -133,7 +138,7 @@
 
 
 def test_spoiled_entry_names_no_replica() -> None:
-    """Another writer spoils the entry of a replica."""
+    """A replica whose entry another writer corrupted is still used."""
     registry, view, _ = _make_registry()
     registry.replace(_read_page(_make_object('i-1', _ENTRY)), unanswered=NEVER)
     registry.put(_read_page(_make_object('i-1', None))[0])
@@ -142,29 +147,30 @@
 
 @given(st.lists(_JSON), st.integers(0, 3))
 def test_sound_entries_come_through(others: list[Any], place: int) -> None:
-    """Anything may lie beside sound entries, in a page and in changes."""
+    """Arbitrary content beside a valid entry hides it, in lists or changes."""
     registry, view, _ = _make_registry()
     entries = [
-        _make_object(f'x-{number}', one) for number, one in enumerate(others)
+        _make_object(f'x-{number}', other)
+        for number, other in enumerate(others)
     ]
     entries += others
     entries.insert(min(place, len(entries)), _make_object('i-1', _ENTRY))
     registry.replace(_read_page(*entries), unanswered=NEVER)
-    assert 'i-1' in {one.entry for one in view.replicas.values()}
+    assert 'i-1' in {replica.entry for replica in view.replicas.values()}
     raw = json.dumps(
-        {'events': [{'object': one} for one in entries], 'at': 3}
+        {'events': [{'object': entry} for entry in entries], 'at': 3}
     ).encode()
     events = msgspec.json.decode(raw, type=Changes).events
-    heard = Heard(
-        3, 0, tuple(Change(bytes(one.found), False) for one in events)
+    update = Heard(
+        3, 0, tuple(Change(bytes(event.found), False) for event in events)
     )
-    read = [found.metadata.name for found, _ in read_changes(heard)]
+    read = [found.metadata.name for found, _ in read_changes(update)]
     assert 'i-1' in read
 
 
 @given(st.binary(max_size=60))
 def test_bytes_that_are_no_text_name_no_replica(content: bytes) -> None:
-    """The contents of an entry are bytes that can't be read."""
+    """An entry of arbitrary bytes is used as a replica."""
     registry, view, _ = _make_registry()
     found = _read_page(_make_object('i-9', None))[0]
     found.spec = msgspec.Raw(content)
@@ -173,7 +179,7 @@
 
 
 async def test_others_serve_beside_foreign_entries() -> None:
-    """Foreign entries come in the list and in changes; requests go on."""
+    """Foreign entries in the list and in changes stop requests."""
     async with run_node(make_model((0, 4), (4, 8))) as node:
         for number, spec in enumerate([None, 5, 'x', {}, {'service': 'model'}]):
             node.store.put('servers', f'x-{number}', spec)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs."""
+"""Reload of the settings in a running process."""
 
 from pathlib import Path
 
@@ -20,9 +20,9 @@
 
 
 async def test_changed_bounds_take_effect(tmp_path: Path) -> None:
-    """An operator tightens the bound on revoked keys and sends SIGHUP.
+    """A reloaded bound takes effect only at the next start.
 
-    The process was told and went on by the old bound until its next start.
+    An operator lowers the bound on revoked keys and sends SIGHUP.
     """
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
@@ -30,16 +30,16 @@
         watch = SettingsWatch(node.app, path)
         path.write_text(_FILE.format(revoke=1000, extra=8))
         watch.reload()
-        # The margin alone takes more than a second.
+        # The safety margin alone is more than a second.
         assert not node.server.ready
         line = node.find('settings-reloaded')
         assert line['changed']
-        # Sockets are made at a start only.
+        # Sockets are opened at the start only.
         assert set(line['waiting']) >= {'front', 'store'}
 
 
 async def test_unreadable_settings_change_nothing(tmp_path: Path) -> None:
-    """The file is wrong; the process serves on, and says what is wrong."""
+    """An invalid settings file stops the process, or isn't reported."""
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
     async with run_node(make_plain(1)) as node:
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read and refused."""
+"""Parsing and validation of the platform's settings file."""
 
 from pathlib import Path
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'told'),
+    ('old', 'new', 'expected'),
     [
         ('nodeName = "edge-1"', '', 'nodeName'),
         ('"10.1.0.40:8227"', '"10.1.0.40"', 'expected host:port'),
@@ -46,12 +46,12 @@
     ],
 )
 def test_mistakes_are_told(
-    tmp_path: Path, old: str, new: str, told: str
+    tmp_path: Path, old: str, new: str, expected: str
 ) -> None:
-    """A settings file is wrong; the message says where and what is meant."""
+    """The message on an invalid settings file doesn't name the mistake."""
     path = tmp_path / 'settings.toml'
     path.write_text(_GOOD.replace(old, new))
-    with pytest.raises(SettingsFileError, match=told):
+    with pytest.raises(SettingsFileError, match=expected):
         read_settings(path)
 
 
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -1,4 +1,4 @@
-"""Nodes that start while the store is out learn from those that live."""
+"""Nodes that start during an outage of the store, bootstrapped by peers."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
 
 _DIGEST = '0123456789abcdef'
 
-_UNTOLD = 'untold'
+_UNSHARED = 'untold'
 
-_LEARN_SECONDS = 0.6
-"""How long a node that starts may know nothing."""
+_BOOTSTRAP_SECONDS = 0.6
+"""How long a starting node may be without a view of the store."""
 
 
 def _name_nodes(count: int) -> tuple[str, ...]:
@@ -27,20 +27,20 @@
 
 
 async def _start(names: Iterable[str], trouble: Trouble) -> World:
-    """Start nodes, let a replica leave, and let the store go out."""
-    world = World(4.0, 5.0, refuses=True)
+    """Start nodes, delete a replica's entry, and begin an outage."""
+    world = World(4.0, 5.0, follows_quarantine=True)
     await world.start(names)
-    world.leave('b-0')
+    world.deregister('b-0')
     await asyncio.sleep(3)
     world.store.troubles.update(dict.fromkeys(names, trouble))
     await asyncio.sleep(0.5)
     return world
 
 
-def _serves(world: World, name: str) -> bool:
-    """Whether a node knows what it needs, as old as all that is known."""
+def _has_current_view(world: World, name: str) -> bool:
+    """Return whether a node has the same view as all others."""
     node = world.nodes[name]
-    offered = [one for one in ('b-0', 'b-1') if node.offers(one)]
+    offered = [replica for replica in ('b-0', 'b-1') if node.offers(replica)]
     return node.configuration.version == 1 and offered == ['b-1']
 
 
@@ -51,14 +51,14 @@
 def test_node_that_starts_in_an_outage_serves(
     count: int, trouble: Trouble
 ) -> None:
-    """One node is killed and back while the store is out for all."""
+    """A node that restarts during an outage of the store can't serve."""
 
     async def play() -> None:
         names = _name_nodes(count)
         world = await _start(names, trouble)
         await world.restart(names[:1])
-        await asyncio.sleep(_LEARN_SECONDS)
-        assert _serves(world, names[0])
+        await asyncio.sleep(_BOOTSTRAP_SECONDS)
+        assert _has_current_view(world, names[0])
         assert world.nodes[names[0]].configuration.allows_keys()
         assert len(world.nodes[names[0]].news.nodes) == count
         await world.stop()
@@ -68,48 +68,54 @@
 
 @pytest.mark.parametrize('count', [7, 24])
 def test_most_nodes_start_in_an_outage(count: int) -> None:
-    """All nodes but one are killed at once; each that learns tells the next."""
+    """Nodes stay without a view as all but one restart in an outage.
+
+    Each node that is bootstrapped has to bootstrap others.
+    """
 
     async def play() -> None:
         names = _name_nodes(count)
         world = await _start(names, Trouble.SILENT)
         await world.restart(names[1:])
-        await asyncio.sleep(_LEARN_SECONDS + count * 0.5)
-        assert all(_serves(world, name) for name in names)
+        await asyncio.sleep(_BOOTSTRAP_SECONDS + count * 0.5)
+        assert all(_has_current_view(world, name) for name in names)
         await world.stop()
 
     run(play())
 
 
-def _delay_refused(introduction: Introduction) -> None:
-    """Let the word of what is refused come late."""
-    ask = introduction.ask_whole
+def _delay_quarantine(introduction: Introduction) -> None:
+    """Delay the response with the quarantine."""
+    request = introduction.ask_whole
 
-    async def ask_late(kind: str) -> Heard | None:
+    async def request_late(kind: str) -> Heard | None:
         if kind == QUARANTINE_KIND:
             await asyncio.sleep(0.4)
-        return await ask(kind)
+        return await request(kind)
 
-    introduction.ask_whole = ask_late  # type: ignore[method-assign]
+    introduction.ask_whole = request_late  # type: ignore[method-assign]
 
 
 def test_what_is_refused_is_known_first() -> None:
-    """A request has ended three replicas, and a node starts in an outage."""
+    """A starting node sends a request that has crashed three replicas.
+
+    During an outage the quarantine arrives later than the registry.
+    """
 
     async def play() -> None:
         names = _name_nodes(7)
-        world = World(4.0, 5.0, refuses=True)
+        world = World(4.0, 5.0, follows_quarantine=True)
         await world.start(names)
-        for life in ('r-1', 'r-2', 'r-3'):
+        for incarnation in ('r-1', 'r-2', 'r-3'):
             world.nodes[names[1]].quarantine.record_crash(
-                _DIGEST, life, RequestPhase.BEGUN, 'c-1'
+                _DIGEST, incarnation, RequestPhase.BEGUN, 'c-1'
             )
         await asyncio.sleep(3)
         assert world.nodes[names[0]].quarantine.find_refused(_DIGEST)
         world.store.troubles.update(dict.fromkeys(names, Trouble.SILENT))
         await world.restart(names[:1])
         node = world.nodes[names[0]]
-        _delay_refused(node.news.introduction)
+        _delay_quarantine(node.news.introduction)
         for _ in range(100):
             await asyncio.sleep(0.05)
             refused = node.quarantine.find_refused(_DIGEST)
@@ -122,24 +128,27 @@
 
 @pytest.mark.parametrize('count', [2, 24])
 def test_store_that_refuses_at_once(count: int) -> None:
-    """Nothing listens at the store; it refuses sooner than a peer tells."""
+    """A node isn't bootstrapped if the store refuses connections at once.
+
+    The refusal arrives sooner than the response of a peer.
+    """
 
     async def play() -> None:
         names = _name_nodes(count)
         world = await _start(names, Trouble.RESET)
         world.store.delay = 0.0001
         await world.restart(names[:1])
-        await asyncio.sleep(_LEARN_SECONDS)
-        assert _serves(world, names[0])
+        await asyncio.sleep(_BOOTSTRAP_SECONDS)
+        assert _has_current_view(world, names[0])
         await world.stop()
 
     run(play())
 
 
-def _make_untold() -> Kind:
-    """Make a kind that a node does not need."""
+def _make_unshared() -> Kind:
+    """Create a kind of object that a node doesn't require."""
     return Kind(
-        _UNTOLD,
+        _UNSHARED,
         20,
         0,
         shared_wait=10,
@@ -152,33 +161,36 @@
 
 
 def test_node_greeted_in_an_outage_asks_little() -> None:
-    """The store refuses at once; what no peer tells is asked for in vain."""
+    """A bootstrapped node calls a store that refuses it again and again.
+
+    No peer announces one kind of object, so the node needs the store for it.
+    """
 
     async def play() -> None:
         names = _name_nodes(7)
         world = await _start(names, Trouble.RESET)
-        world.untold = _make_untold
+        world.make_unshared_kind = _make_unshared
         await world.restart(names[:1])
-        began = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         await asyncio.sleep(10)
-        calls = [at for at, _, path in world.store.calls if _UNTOLD in path]
-        assert 0 < sum(at > began for at in calls) < 20
+        calls = [at for at, _, path in world.store.calls if _UNSHARED in path]
+        assert 0 < sum(at > started for at in calls) < 20
         await world.stop()
 
     run(play())
 
 
 def test_node_back_in_an_outage_drops_leavers() -> None:
-    """The store comes back, and has lost a replica meanwhile."""
+    """A node that started in an outage uses a replica that left after it."""
 
     async def play() -> None:
         names = _name_nodes(7)
         world = await _start(names, Trouble.SILENT)
         await world.restart(names[:1])
-        await asyncio.sleep(_LEARN_SECONDS)
+        await asyncio.sleep(_BOOTSTRAP_SECONDS)
         world.store.troubles.clear()
         await asyncio.sleep(1)
-        world.leave('b-1')
+        world.deregister('b-1')
         await asyncio.sleep(world.drain)
         assert not world.nodes[names[0]].offers('b-1')
         await world.stop()
@@ -187,11 +199,11 @@
 
 
 def test_nobody_is_greeted_in_calm() -> None:
-    """A calm fleet starts and runs; nothing is asked beyond its watches."""
+    """Nodes send bootstrap messages without an outage of the store."""
 
     async def play() -> None:
         names = _name_nodes(7)
-        world = World(4.0, 5.0, refuses=True)
+        world = World(4.0, 5.0, follows_quarantine=True)
         await world.start(names)
         await world.restart(names[:2])
         await asyncio.sleep(3)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -23,15 +23,19 @@
 async def test_plain_answer_is_passed_on_byte_for_byte() -> None:
     async with run_node(make_plain()) as node:
         status, body, headers = await ask(node, '/ping/a%2Fb?x=%20y')
-        ran = next(one for one in node.replicas.values() if one.runs)
+        serving = next(
+            replica for replica in node.replicas.values() if replica.runs
+        )
         assert status == 200
-        assert body == f'answer of {ran.name}'.encode()
-        assert headers['x-ryelatch-replica-signature'] == f'signed-{ran.name}'
-        run = ran.runs[0]
+        assert body == f'answer of {serving.name}'.encode()
+        assert (
+            headers['x-ryelatch-replica-signature'] == f'signed-{serving.name}'
+        )
+        run = serving.runs[0]
         assert run.path == '/ping/a%2Fb?x=%20y'
         assert run.body == b'question'
         assert run.headers['X-Ryelatch-Tenant'] == 'ward-1'
-        assert run.headers['X-Ryelatch-Expect-Replica'] == ran.name
+        assert run.headers['X-Ryelatch-Expect-Replica'] == serving.name
         assert 'Api-Key' not in run.headers
         assert 2000 < int(run.headers['X-Ryelatch-Deadline-Ms']) <= 3000
 
@@ -48,7 +52,7 @@
 
 
 async def test_client_cannot_set_what_the_router_sets() -> None:
-    """A client claims another's account and a path of its own."""
+    """A client sets headers that name another account and its own path."""
     async with run_node(make_plain(1)) as node:
         await ask(
             node,
@@ -86,9 +90,10 @@
 
 
 async def test_failed_ping_goes_to_another_replica() -> None:
-    """One replica answers 500 to all; the request may run twice.
+    """An idempotent request fails with its first replica.
 
-    The client gets the answer of the other replica.
+    The replica answers 500. The request may run twice, so the client has to
+    get the answer of another replica.
     """
     async with run_node(make_plain(2)) as node:
         node.replicas['b-0'].fail = 500
@@ -101,18 +106,20 @@
 
 
 async def test_failed_booking_is_passed_on() -> None:
-    """A booking fails at its replica; it ran, so it may not run again."""
+    """A booking that failed at its replica, and may have run, runs again."""
     async with run_node(make_plain(2)) as node:
         for replica in node.replicas.values():
             replica.fail = 500
         status, body, headers = await ask(node, '/book/x')
         assert (status, body) == (500, b'no')
         assert 'x-ryelatch-replica-signature' in headers
-        assert sum(len(one.runs) for one in node.replicas.values()) == 1
+        assert (
+            sum(len(stand_in.runs) for stand_in in node.replicas.values()) == 1
+        )
 
 
 async def test_refused_booking_is_tried_elsewhere() -> None:
-    """A replica says that it did not run a booking: another may."""
+    """A booking fails although its replica promised that it didn't run."""
     async with run_node(make_plain(2)) as node:
         node.replicas['b-0'].refuse = 503
         for number in range(4):
@@ -121,10 +128,10 @@
 
 
 async def test_lost_booking_promises_nothing() -> None:
-    """A replica takes a booking and never answers.
+    """A booking that may have run is retried or reported as not run.
 
-    It may have run. It gets its final answer at the route's timeout, one
-    that promises nothing, and no other replica sees it.
+    A replica accepts it and never answers. The client has to get a final
+    answer without a promise at the route's timeout.
     """
     routes = [make_route('book', routeKind='non_idempotent', timeoutMs=400)]
     configuration = make_configuration(routes=routes)
@@ -134,13 +141,15 @@
         started = asyncio.get_running_loop().time()
         status, _, _ = await ask(node, '/book/x')
         assert status == 504
-        passed = asyncio.get_running_loop().time() - started
-        assert int(passed * 10) >= 4
-        assert sum(len(one.runs) for one in node.replicas.values()) == 1
+        elapsed = asyncio.get_running_loop().time() - started
+        assert int(elapsed * 10) >= 4
+        assert (
+            sum(len(stand_in.runs) for stand_in in node.replicas.values()) == 1
+        )
 
 
 async def test_all_full_is_refused_at_once() -> None:
-    """No replica has room; the client is told when to come back."""
+    """A client isn't sent back at once while all replicas are full."""
     async with run_node(make_plain(2)) as node:
         for replica in node.replicas.values():
             replica.refuse = 503
@@ -150,9 +159,10 @@
 
 
 async def test_answer_to_another_request_is_dropped() -> None:
-    """A replica's late answer comes where that to a newer one is due.
+    """A client gets the answer to another client's request.
 
-    Passed on, one client would read what another asked for.
+    A replica sends a late answer on a connection where the answer to a newer
+    request is due.
     """
     async with run_node(make_plain(1)) as node:
         node.replicas['b-0'].other_identity = True
@@ -162,9 +172,10 @@
 
 
 async def test_reset_body_without_length_is_not_whole() -> None:
-    """A replica sends a body without a length, and its connection is reset.
+    """A part of an answer is passed on as a complete one.
 
-    Taken for the end, a part of the answer would look like all of it.
+    The replica sends a body without a length, and its connection is reset,
+    which must not count as the end of the body.
     """
     async with run_node(make_plain(1)) as node:
         node.replicas['b-0'].unframed_part = True
@@ -174,10 +185,10 @@
 
 
 async def test_broken_stream_is_resumed_elsewhere() -> None:
-    """The first replica is lost in the middle of an event.
+    """A resumed stream repeats, loses or damages events.
 
-    The client sees one stream: each event whole, once and in order, under
-    the signature that it began with.
+    The first replica is lost in the middle of an event. The client has to get
+    each event complete, once and in order, under the original signature.
     """
     async with run_node(make_model((0, 8), (0, 8))) as node:
         for replica in node.replicas.values():
@@ -185,7 +196,9 @@
         status, body, headers = await ask(node, '/plan/x')
         assert status == 200
         assert body == expect_events(5)
-        runs = [run for one in node.replicas.values() for run in one.runs]
+        runs = [
+            run for stand_in in node.replicas.values() for run in stand_in.runs
+        ]
         resumed = [run.headers.get('Last-Event-Id') for run in runs]
         assert {None, '2'} <= set(resumed)
         first = node.find('exchange-sent')['path'][0][0]
@@ -194,9 +207,9 @@
 
 
 async def test_stream_without_resume_breaks_visibly() -> None:
-    """The only replica of some layers is lost in the middle of a stream.
+    """A client takes an interrupted stream for a complete one.
 
-    The client must see that the answer isn't whole.
+    The only replica of some layers is lost in the middle of a stream.
     """
     routes = [
         make_route(
@@ -207,38 +220,40 @@
     async with run_node(make_model((0, 8)), configuration) as node:
         node.replicas['m-0'].break_after = 2
         async with open_request(node, '/plan/x') as response:
-            passed = await response.content.readuntil(b'token 2\n\n')
+            received = await response.content.readuntil(b'token 2\n\n')
             with pytest.raises(aiohttp.ClientError):
                 await response.content.read()
-        assert passed == expect_events(2)
+        assert received == expect_events(2)
         await wait_until(lambda: node.count('exchange-broken'))
 
 
 async def test_stalled_stream_is_moved_to_another_path() -> None:
-    """A replica in the middle of a path is lost without a word.
+    """A stream waits forever for a lost replica in the middle of its path.
 
-    The first replica only waits. Its report names the lost one, the stream
-    is moved, and goes on without a new run.
+    The first replica reports the lost one. The stream has to migrate to
+    another path and go on without a new run.
     """
     async with run_node(make_model((0, 4), (4, 8), (4, 8))) as node:
-        head = node.replicas['m-0']
-        head.stall_after = 2
+        first_replica = node.replicas['m-0']
+        first_replica.stall_after = 2
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             sent = node.find('exchange-sent')['path']
             lost = node.replicas[sent[1][0]]
-            head.stalled_on = lost.address
+            first_replica.stalled_on = lost.address
             rest = await response.read()
         assert rest.endswith(b'data: token 5\n\n')
-        moved = next(one for one in head.orders if one['op'] == 'repath')
+        moved = next(
+            order for order in first_replica.orders if order['op'] == 'repath'
+        )
         assert moved['id'] == 'r-1'
         assert lost.address not in moved['path']
-        assert moved['path'].startswith(f'{head.address}=0-4,')
-        assert len(head.runs) == 1
+        assert moved['path'].startswith(f'{first_replica.address}=0-4,')
+        assert len(first_replica.runs) == 1
 
 
 async def test_missing_layers_are_refused_at_once() -> None:
-    """Nobody holds some layers; waiting would not help the client."""
+    """A client waits although no replica holds some of the layers."""
     small = [(0, 3), (5, 8)]
     async with run_node(make_model(*small)) as node:
         for replica in node.replicas.values():
@@ -250,9 +265,9 @@
 
 
 async def test_work_ends_when_the_client_leaves() -> None:
-    """A client closes its connection while a replica works for it.
+    """A replica continues a request whose client has disconnected.
 
-    Work that nobody waits for keeps a place from others.
+    The request would occupy a slot that others could use.
     """
     async with run_node(make_plain(1)) as node:
         replica = node.replicas['b-0']
@@ -265,9 +280,9 @@
 
 
 async def test_unreachable_replica_costs_no_booking() -> None:
-    """A replica is gone, and the registry still lists it.
+    """A booking fails as its replica, still listed, can't be reached.
 
-    Nothing was sent, so even a booking may go to another replica.
+    Nothing was sent, so it may go to another replica.
     """
     async with run_node(make_plain(2)) as node:
         gone = node.replicas['b-0']
@@ -280,10 +295,10 @@
 
 
 async def test_address_of_another_replica_runs_nothing() -> None:
-    """A replica was restarted at its address under another name.
+    """A booking runs at, or fails with, a replica that it wasn't meant for.
 
-    It says that it is not the one that was meant, which is as good as not
-    having been asked.
+    A replica was restarted under another name at the same address. It refuses
+    the booking, which thus didn't run and may go to another replica.
     """
     async with run_node(make_plain(2)) as node:
         node.replicas['b-0'].name = 'b-0-restarted'
@@ -294,10 +309,10 @@
 
 
 async def test_request_waits_for_the_first_list() -> None:
-    """A client comes to a node that has just started.
+    """A freshly started node refuses a request before its initial sync.
 
-    Its lists come within milliseconds. Refused before, a client that has come
-    back once already has lost its request.
+    The lists arrive within milliseconds. Clients retry only once, so a refusal
+    may lose the request.
     """
     async with run_node(make_plain(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
@@ -309,7 +324,10 @@
 
 
 async def test_nobody_waits_long_for_a_list() -> None:
-    """The store is out at the start: another node serves the client."""
+    """A request waits for the whole outage in which its node started.
+
+    The client has to be refused soon, so that another node serves it.
+    """
     async with run_node(make_plain(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
         status, _, headers = await ask(node, '/ping/x')
