--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -42,7 +42,7 @@
 
 
 def _count_max(replica: ReplicaStandIn, since: float) -> int:
-    """Count the requests in the busiest span."""
+    """Return the maximum number of requests in any span."""
     times = [run.at for run in replica.runs if run.at >= since]
     return max(
         (
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -43,10 +43,10 @@
             self.nodes[name] = self._make(name)
         self.know(self.nodes, self.nodes)
 
-    def know(self, knowing: Iterable[str], known: Iterable[str]) -> None:
+    def know(self, names: Iterable[str], peers: Iterable[str]) -> None:
         """Set the list of nodes that some nodes have."""
-        entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in known]
-        for name in knowing:
+        entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in peers]
+        for name in names:
             self.nodes[name].news.know(entries)
 
     async def send(self, name: str) -> bool:
@@ -77,9 +77,9 @@
                 await asyncio.sleep(gap)
 
     def count_most(self, since: float, span: float) -> int:
-        """Count the requests in the busiest period of a length.
+        """Return the maximum number of requests in any period of a length.
 
-        :param since: when counting starts.
+        :param since: time before which requests are ignored.
         :param span: length of the period in seconds.
         """
         times = [at for at, _ in self.sent if at >= since]
