--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x', '/book/x'])
 async def test_all_at_rest_are_refused_until_the_first(path: str) -> None:
-    """A client is sent back while all replicas are still in backoff.
+    """A client is told to retry while all replicas are still in backoff.
 
     Its ``Retry-After`` must reach to the end of the first backoff.
     """
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -187,7 +187,7 @@
 
 
 async def test_unlisted_registry_is_no_repair() -> None:
-    """A client is sent away for the time of a repair although none is needed.
+    """A client is told to wait for a repair although none is needed.
 
     A freshly started node hasn't listed the replicas yet. That it has no
     layers in its view doesn't mean that they are missing.
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -186,7 +186,7 @@
 
 
 async def test_bad_frames_end_a_connection_only() -> None:
-    """A client that is no peer does more harm than losing its connection."""
+    """Malformed frames on one connection disturb the node beyond it."""
     async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
         address = node.app.find('news', News).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -284,7 +284,10 @@
 async def test_object_that_can_not_be_read_refuses_none(
     name: str, spec: Any
 ) -> None:
-    """An unreadable object in the store quarantines or disables something."""
+    """An unreadable object refuses requests, or stops the quarantine.
+
+    Other programs may write to the store.
+    """
     async with _run_node(make_plain(6)) as node:
         node.store.put(_KIND, name, spec)
         await wait_until(lambda: node.count('configuration-refused'))
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -149,7 +149,7 @@
 
 
 async def test_all_full_is_refused_at_once() -> None:
-    """A client isn't sent back at once while all replicas are full."""
+    """A client waits, or gets no ``Retry-After``, while replicas are full."""
     async with run_node(make_plain(2)) as node:
         for replica in node.replicas.values():
             replica.refuse = 503
