--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -118,7 +118,7 @@
 
 @asynccontextmanager
 async def run_processes(folder: Path) -> AsyncIterator[RunningProcesses]:
-    """Start a store, replicas and two nodes, and kill leftover nodes at exit."""
+    """Start a store, replicas and two nodes; kill the nodes left at exit."""
     store = ObjectStore()
     store.put('config', 'main', make_configuration())
     runners = []
