--- a/packages/ryelatch-node/src/ryelatch_node/front/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_model.py
@@ -19,13 +19,13 @@
     Failure,
     Outcome,
 )
-from ryelatch_node.admission import Admission, Pass
-from ryelatch_node.answers import Answer, AnswerError, Answers, Order
+from ryelatch_node.admission import Admission, AdmissionSlot
+from ryelatch_node.answers import Answer, AnswerError, Answers, GenerationJob
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front import _body as bodies
 from ryelatch_node.front import _prompt as prompts
 from ryelatch_node.front import _reply as replies
-from ryelatch_node.front._caller import find_account
+from ryelatch_node.front._authentication import find_account
 from ryelatch_node.front._errors import CallerError
 from ryelatch_node.front._meter import Meter
 
@@ -45,9 +45,9 @@
 class _Running:
     """An admitted request and what has to be given back at its end."""
 
-    order: Order
+    order: GenerationJob
     answer: Answer
-    granted: Pass
+    granted: AdmissionSlot
     started: float
 
 
@@ -259,7 +259,7 @@
 
 def _drop(app: App, running: _Running) -> None:
     """End the work of a caller that is gone."""
-    if not running.answer.ended:
+    if not running.answer.finished:
         app.find('timeline', Timeline).record(
             catalogue.CALLER_GONE, request=running.order.request
         )
@@ -285,7 +285,7 @@
     )
 
 
-def _record_shed(app: App, order: Order, failure: Failure) -> None:
+def _record_shed(app: App, order: GenerationJob, failure: Failure) -> None:
     app.find('timeline', Timeline).record(
         catalogue.REQUEST_SHED, request=order.request, reason=failure.code
     )
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -14,7 +14,7 @@
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 def _list_kinds_without_history(node: RunningNode) -> set[str]:
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -252,7 +252,7 @@
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        freshness = world.nodes['node-a'].view.known
+        freshness = world.nodes['node-a'].view.freshness
         random_source = random.Random(7)
         for _ in itertools.repeat(None, 300):
             await asyncio.sleep(random_source.uniform(0, 0.3))
--- a/tests/platform/test_fleet_calls.py
+++ b/tests/platform/test_fleet_calls.py
@@ -44,7 +44,7 @@
         world.store.troubles.clear()
         await asyncio.sleep(2)
         for node in world.nodes.values():
-            assert node.view.known.age < 2
+            assert node.view.freshness.age < 2
             assert node.configuration.allows_keys()
         await world.stop()
 
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -19,8 +19,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
@@ -57,12 +57,12 @@
 
 def _announce_first(node: RunningNode, app: App) -> None:
     """Make the first node, which watches for others, known to both."""
-    address = node.app.find('news', News).address
+    address = node.app.find('news', PeerSync).address
     first = NodeEntry(
         'node-a', 'zone-a', f'{address.host}:{address.port}', 1000
     )
     for each in (node.app, app):
-        each.find('news', News).know([first])
+        each.find('news', PeerSync).update_nodes([first])
 
 
 def _count_watches(node: RunningNode, kind: str) -> int:
@@ -111,7 +111,7 @@
         _run_second(node) as (app, lines),
     ):
         await asyncio.sleep(2.5)
-        await node.app.find('news', News).stop()
+        await node.app.find('news', PeerSync).stop()
         node.store.drop('servers', 'b-0')
         replicas = app.find('replicas', ReplicaView)
         await wait_until(lambda: len(replicas.replicas) == 1, 3)
@@ -166,8 +166,8 @@
         store = app.find('store', object)
 
         async def fail(*_: Any, **options: Any) -> Any:
-            store.availability.note_out('cut off', 0)  # type: ignore[attr-defined]
-            return Err(StoreFailure.OUT)
+            store.availability.record_unavailable('cut off', 0)  # type: ignore[attr-defined]
+            return Err(StoreFailure.UNAVAILABLE)
 
         monkeypatch.setattr(store, '_call', fail)
         configuration = app.find('configuration', ConfigurationView)
@@ -188,7 +188,7 @@
 async def test_bad_frames_end_a_connection_only() -> None:
     """Malformed frames on one connection disturb the node beyond it."""
     async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
-        address = node.app.find('news', News).address
+        address = node.app.find('news', PeerSync).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(junk)
@@ -209,7 +209,7 @@
     async def play() -> None:
         world = World(4.0, 5.0)
         await world.start([f'node-{number}' for number in range(4)])
-        world.nodes['node-0'].news.know([])
+        world.nodes['node-0'].peer_sync.update_nodes([])
         await asyncio.sleep(2)
         before = len(world.store.calls)
         await asyncio.sleep(20)
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -19,7 +19,7 @@
     wait_until,
 )
 from ryelatch_core.quarantine import digest_request
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from standins.replica import ReplicaStandIn
 
 _CRASHING = b'a question under which replicas end'
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -12,11 +12,11 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.news import Change, Heard
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.peer_sync import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
-from ryelatch_platform._registry import Registry
+from ryelatch_platform._registry import ReplicaRegistry
 
 _ENTRY = {
     'service': 'model',
@@ -42,7 +42,7 @@
 )
 
 
-def _make_registry() -> tuple[Registry, ReplicaView, list[Any]]:
+def _make_registry() -> tuple[ReplicaRegistry, ReplicaView, list[Any]]:
     lines: list[Any] = []
 
     def write(line: bytes) -> int:
@@ -52,7 +52,7 @@
     clock = BootClock()
     log = LineLog('node-a', clock, write)
     view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
-    return Registry(log, view), view, lines
+    return ReplicaRegistry(log, view), view, lines
 
 
 def _make_object(name: str, spec: Any) -> dict[str, Any]:
@@ -161,7 +161,7 @@
         {'events': [{'object': entry} for entry in entries], 'at': 3}
     ).encode()
     events = msgspec.json.decode(raw, type=Changes).events
-    update = Heard(
+    update = StoreUpdate(
         3, 0, tuple(Change(bytes(event.found), False) for event in events)
     )
     read = [found.metadata.name for found, _ in read_changes(update)]
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from fleet.running import make_plain, run_node
-from ryelatch_platform._reload import SettingsWatch
+from ryelatch_platform._reload import SettingsReloader
 
 _FILE = """
 nodeName = "edge-1"
@@ -27,7 +27,7 @@
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
     async with run_node(make_plain(1)) as node:
-        watch = SettingsWatch(node.app, path)
+        watch = SettingsReloader(node.app, path)
         path.write_text(_FILE.format(revoke=1000, extra=8))
         watch.reload()
         # The safety margin alone is more than a second.
@@ -43,7 +43,7 @@
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
     async with run_node(make_plain(1)) as node:
-        watch = SettingsWatch(node.app, path)
+        watch = SettingsReloader(node.app, path)
         path.write_text('nodeName = 3')
         watch.reload()
         assert node.server.ready
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ryelatch_core.quarantine import RequestPhase
-from ryelatch_node.news import Heard
-from ryelatch_node.news._introduction import Introduction
+from ryelatch_node.peer_sync import StoreUpdate
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from ryelatch_platform._kinds import Kind
 from ryelatch_platform._quarantine import QUARANTINE_KIND
 from virtual.loop import run
@@ -60,7 +60,7 @@
         await asyncio.sleep(_BOOTSTRAP_SECONDS)
         assert _has_current_view(world, names[0])
         assert world.nodes[names[0]].configuration.allows_keys()
-        assert len(world.nodes[names[0]].news.nodes) == count
+        assert len(world.nodes[names[0]].peer_sync.nodes) == count
         await world.stop()
 
     run(play())
@@ -84,16 +84,16 @@
     run(play())
 
 
-def _delay_quarantine(introduction: Introduction) -> None:
+def _delay_quarantine(bootstrap_client: BootstrapClient) -> None:
     """Delay the response with the quarantine."""
-    request = introduction.ask_whole
+    request = bootstrap_client.request_list
 
-    async def request_late(kind: str) -> Heard | None:
+    async def request_late(kind: str) -> StoreUpdate | None:
         if kind == QUARANTINE_KIND:
             await asyncio.sleep(0.4)
         return await request(kind)
 
-    introduction.ask_whole = request_late  # type: ignore[method-assign]
+    bootstrap_client.request_list = request_late  # type: ignore[method-assign]
 
 
 def test_what_is_refused_is_known_first() -> None:
@@ -115,7 +115,7 @@
         world.store.troubles.update(dict.fromkeys(names, Trouble.SILENT))
         await world.restart(names[:1])
         node = world.nodes[names[0]]
-        _delay_quarantine(node.news.introduction)
+        _delay_quarantine(node.peer_sync.bootstrap_client)
         for _ in range(100):
             await asyncio.sleep(0.05)
             refused = node.quarantine.find_refused(_DIGEST)
@@ -156,7 +156,7 @@
         put=lambda found, known: None,
         remove=lambda name, unanswered: None,
         confirm=lambda known: None,
-        needed=False,
+        required=False,
     )
 
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -17,7 +17,7 @@
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 async def test_plain_answer_is_passed_on_byte_for_byte() -> None:
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -10,9 +10,9 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import News
-from ryelatch_node.ports import AnswerTerms
-from ryelatch_node.throttle import PermitLines, Throttle
+from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.ports import AnswerMetadata
+from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 
@@ -41,13 +41,13 @@
         """Start nodes that have each other in their lists of nodes."""
         for name in names:
             self.nodes[name] = self._make(name)
-        self.know(self.nodes, self.nodes)
+        self.update_nodes(self.nodes, self.nodes)
 
-    def know(self, names: Iterable[str], peers: Iterable[str]) -> None:
+    def update_nodes(self, names: Iterable[str], peers: Iterable[str]) -> None:
         """Set the list of nodes that some nodes have."""
         entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in peers]
         for name in names:
-            self.nodes[name].news.know(entries)
+            self.nodes[name].peer_sync.update_nodes(entries)
 
     async def send(self, name: str) -> bool:
         """Send a request from a node, if it gets a permit.
@@ -57,10 +57,10 @@
         throttle = self.nodes[name]
         if REPLICA.name in throttle.list_closed():
             return False
-        if not await throttle.take(REPLICA):
+        if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.note_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_terms(self.limit))
         return True
 
     async def press(self, names: list[str], seconds: float, gap: float) -> None:
@@ -105,9 +105,9 @@
         clock = VirtualClock()
         log = LineLog(name, clock, self._write)
         startup = make_startup(1)._replace(name=name)
-        news = News(log, clock, startup, self._dial)
+        peer_sync = PeerSync(log, clock, startup, self._dial)
         return Throttle(
-            log, clock, startup, news, PermitLines(log, clock, news)
+            log, clock, startup, peer_sync, PermitClient(log, clock, peer_sync)
         )
 
     def _write(self, line: bytes) -> int:
@@ -119,14 +119,14 @@
             await asyncio.Event().wait()
         await asyncio.sleep(LINK_SECONDS)
         near, far = open_pair(lambda: host not in self.dark)
-        serving = self.nodes[host].news.server.serve(*far)
+        serving = self.nodes[host].peer_sync.server.serve(*far)
         self._tasks.append(asyncio.create_task(serving))
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerTerms:
+def make_terms(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
     """Create the metadata of an answer that may report a rate limit.
 
     :param limit: requests per second; ``None`` for no limit.
     """
-    return AnswerTerms('', signed, not signed, '', False, limit=limit)
+    return AnswerMetadata('', signed, not signed, '', False, limit=limit)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -12,8 +12,8 @@
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NodeEntry, compute_departure_bounds
 from ryelatch_core.quarantine import CrashTracker
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import Address
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_platform._follow import Follower
@@ -25,7 +25,7 @@
 )
 from ryelatch_platform._quarantine import make_quarantine_store
 from ryelatch_platform._store import StoreClient
-from ryelatch_platform._waits import ARRIVAL_SECONDS
+from ryelatch_platform._watch_timing import FLEET_START_SECONDS
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 from virtual.store import VirtualStore
@@ -44,7 +44,7 @@
     name: str
     view: ReplicaView
     configuration: ConfigurationView
-    news: News
+    peer_sync: PeerSync
     store: StoreClient
     follower: Follower
     quarantine: Quarantine
@@ -55,7 +55,7 @@
         """Start following the store and dropping expired entries."""
         await self.store.start()
         await self.quarantine.start()
-        self.news.start_greeting()
+        self.peer_sync.start_bootstrapper()
         await self.follower.start()
         self.tasks.append(asyncio.create_task(self._housekeep()))
 
@@ -63,7 +63,7 @@
         """Stop the node."""
         await self.follower.stop()
         await self.quarantine.stop()
-        await self.news.stop()
+        await self.peer_sync.stop()
         for task in self.tasks:
             task.cancel()
         await self.store.stop()
@@ -82,7 +82,7 @@
     async def _housekeep(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self.view.drop_lapsed()
+            self.view.drop_expired()
             self.quarantine.evaluate()
 
 
@@ -124,9 +124,9 @@
             for order, name in enumerate(self.nodes)
         ]
         for node in self.nodes.values():
-            node.news.know(entries)
+            node.peer_sync.update_nodes(entries)
             await node.start()
-        await asyncio.sleep(ARRIVAL_SECONDS + 1)
+        await asyncio.sleep(FLEET_START_SECONDS + 1)
 
     async def stop(self) -> None:
         """Stop all nodes."""
@@ -183,8 +183,8 @@
             clock.monotonic,
             lambda: self.store.open_session(name),  # type: ignore
         )
-        news = News(log, clock, startup, self._dial(name))
-        news.address = Address(name, 1)
+        peer_sync = PeerSync(log, clock, startup, self._dial(name))
+        peer_sync.address = Address(name, 1)
         jitter = crc32(name.encode()) % 100 / 100
         quarantine = Quarantine(
             log, clock, make_quarantine_store(store), CrashTracker(jitter)
@@ -197,9 +197,9 @@
             kinds.append(follow_quarantine(log, quarantine))
         if self.make_unshared_kind:
             kinds.append(self.make_unshared_kind())
-        follower = Follower(store, news, log, clock, tuple(kinds))
+        follower = Follower(store, peer_sync, log, clock, tuple(kinds))
         return VirtualNode(
-            name, view, configuration, news, store, follower, quarantine, lines
+            name, view, configuration, peer_sync, store, follower, quarantine, lines
         )
 
     def _dial(self, caller: str) -> Any:
@@ -209,7 +209,7 @@
                 await asyncio.Event().wait()
             await asyncio.sleep(LINK_SECONDS)
             near, far = open_pair(lambda: not self.unreachable & {caller, host})
-            serving = peer.news.server.serve(*far)
+            serving = peer.peer_sync.server.serve(*far)
             peer.tasks.append(asyncio.create_task(serving))
             return near
 
