--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -12,7 +12,7 @@
 _PAUSE_SECONDS = 0.05
 
 
-async def test_lines_tell_that_a_rest_was_asked_for() -> None:
+async def test_requested_backoff_is_logged() -> None:
     """The log doesn't show for how long a replica requested a backoff."""
     replicas = make_plain(2)
     for replica in replicas:
@@ -24,7 +24,7 @@
         assert not node.count('backoff-unreadable')
 
 
-async def test_lines_tell_that_a_rest_is_unreadable() -> None:
+async def test_unreadable_backoff_is_logged() -> None:
     """A backoff header that can't be parsed leaves no trace in the log."""
     replica = make_plain(1)[0]
     replica.refuse = 503
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_resting_replica_is_left_alone(path: str) -> None:
+async def test_replica_in_backoff_gets_few_requests(path: str) -> None:
     """A replica that requested a backoff of 3 s gets requests each 0.3 s."""
     streams = path.startswith('/plan')
     replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x', '/book/x'])
-async def test_all_at_rest_are_refused_until_the_first(path: str) -> None:
+async def test_clients_retry_after_the_first_backoff(path: str) -> None:
     """A client is told to retry while all replicas are still in backoff.
 
     Its ``Retry-After`` must reach to the end of the first backoff.
@@ -100,7 +100,7 @@
         assert all(len(stand_in.refusals) <= 2 for stand_in in replicas)
 
 
-async def test_replica_at_rest_is_asked_for_no_report() -> None:
+async def test_no_report_is_requested_during_backoff() -> None:
     """A replica in backoff gets requests for its report instead."""
     replicas = make_model((0, 8), (0, 8))
     replicas[0].refuse = 503
@@ -113,7 +113,7 @@
         assert not node.count('task-crashed')
 
 
-async def test_end_of_a_rest_is_the_end() -> None:
+async def test_replica_is_used_after_its_backoff() -> None:
     """A replica gets no more requests after its backoff is over."""
     replicas = make_plain(2)
     replicas[0].refuse = 503
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -186,7 +186,7 @@
         assert status == 503
 
 
-async def test_unlisted_registry_is_no_repair() -> None:
+async def test_client_retries_soon_before_initial_sync() -> None:
     """A client is told to wait for a repair although none is needed.
 
     A freshly started node hasn't listed the replicas yet. That it has no
--- a/tests/platform/test_fleet_calls.py
+++ b/tests/platform/test_fleet_calls.py
@@ -75,7 +75,7 @@
     run(play())
 
 
-def test_nodes_turned_away_live_on_others_word() -> None:
+def test_rejected_nodes_follow_their_peers() -> None:
     """Nodes that the store rejects for 20 s call it or lose their view."""
 
     async def play() -> None:
--- a/tests/platform/test_leaving_said.py
+++ b/tests/platform/test_leaving_said.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_replica_that_says_so_gets_no_more(path: str) -> None:
+async def test_announced_departure_stops_requests(path: str) -> None:
     """A leaving replica gets requests until its entry says that it leaves."""
     replicas = _make_replicas(path)
     async with run_node(replicas) as node:
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_entry_does_not_take_it_back(path: str) -> None:
+async def test_entry_does_not_cancel_a_departure(path: str) -> None:
     """A leaving replica is used again when its entry is written or deleted."""
     replicas = _make_replicas(path)
     async with run_node(replicas) as node:
@@ -69,7 +69,7 @@
         assert not replicas[0].runs
 
 
-async def test_it_holds_while_the_store_is_silent() -> None:
+async def test_departure_holds_in_a_store_outage() -> None:
     """A node that is cut off from the store sends to a leaving replica."""
     replicas = make_plain(2)
     async with run_node(replicas) as node:
@@ -79,7 +79,7 @@
         assert not replicas[0].runs
 
 
-async def test_next_life_does_not_leave() -> None:
+async def test_restarted_replica_is_used_again() -> None:
     """A restarted replica gets no requests as its last incarnation left."""
     replicas = make_plain(2)
     replicas[0].born = 1000
@@ -93,7 +93,7 @@
         assert replicas[0].runs
 
 
-async def test_other_words_are_no_leaving() -> None:
+async def test_invalid_leaving_header_is_ignored() -> None:
     """An invalid header in an answer takes a working replica out of use."""
     replicas = make_plain(1)
     replicas[0].says = {'Server-Leaving': 'perhaps'}
--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -22,7 +22,7 @@
 _NOTICE_SECONDS = 3.0
 
 
-async def test_lines_tell_that_a_limit_was_named() -> None:
+async def test_reported_limit_is_logged() -> None:
     """The log doesn't show that a replica set or removed its rate limit."""
     replica = make_plain(1)[0]
     replica.says = {'Server-Limit': '500'}
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -41,7 +41,7 @@
         assert body == expect_events(5)
 
 
-async def test_answer_of_another_replica_ends_a_life() -> None:
+async def test_answer_of_another_replica_marks_a_crash() -> None:
     """Requests go to a crashed replica until its entry expires.
 
     Another replica answers at the address of the one that is still listed.
--- a/tests/platform/test_moves.py
+++ b/tests/platform/test_moves.py
@@ -151,7 +151,9 @@
     one accepts no commands any more. Streams through both were aborted to be
     resumed elsewhere, found no path, and clients lost their answers.
     """
-    monkeypatch.setattr('ryelatch_node.relay._migration_planner.LEAVING_SECONDS', 0)
+    monkeypatch.setattr(
+        'ryelatch_node.relay._migration_planner.LEAVING_SECONDS', 0
+    )
     replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)), 8)
     async with run_node(replicas) as node:
         first_replica = node.replicas['m-0']
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -19,8 +19,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
@@ -101,7 +101,7 @@
         await wait_until(lambda: len(replicas.replicas) == 1, 2)
 
 
-async def test_lost_watcher_is_left() -> None:
+async def test_lost_watcher_is_abandoned() -> None:
     """A follower waits for a watcher that was killed.
 
     It has to watch the store itself.
@@ -118,7 +118,9 @@
         assert any(line['name'] == 'watcher-left' for line in lines)
 
 
-async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watcher_without_the_store_is_abandoned(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Followers rely on a watcher that is cut off from the store.
 
     The watcher still responds. Its followers would send requests to a replica
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -131,7 +131,7 @@
             assert status == 200
 
 
-async def test_ends_of_an_outage_are_told_after_it() -> None:
+async def test_crashes_in_an_outage_are_shared_later() -> None:
     """Crashes during an outage of the store are never shared.
 
     The node that saw them refuses the request at once, the others when the
@@ -159,7 +159,7 @@
         )
 
 
-async def test_lost_connections_are_no_ends() -> None:
+async def test_lost_connections_are_not_crashes() -> None:
     """Lost connections to running replicas count as crashes.
 
     All requests over a link that loses connections would be quarantined.
@@ -220,7 +220,7 @@
         asking.cancel()
 
 
-async def test_slow_replica_is_no_alibi() -> None:
+async def test_request_on_a_slow_replica_is_suspected() -> None:
     """A request that crashes slow replicas isn't suspected.
 
     They crash most of a second after they sent the header of the answer.
@@ -260,7 +260,7 @@
         assert not node.count('request-quarantined')
 
 
-async def test_one_attempt_ends_few_replicas() -> None:
+async def test_one_attempt_crashes_few_replicas() -> None:
     """One client request crashes five replicas on a route with two attempts.
 
     Runs lost with their replica weren't counted as attempts, as a stream need
--- a/tests/platform/test_quarantine_reach.py
+++ b/tests/platform/test_quarantine_reach.py
@@ -67,7 +67,7 @@
 
 
 @_FLEETS
-def test_ends_seen_at_once_by_three(fleet: _Fleet) -> None:
+def test_crashes_seen_at_once_by_three(fleet: _Fleet) -> None:
     """Three crashes at the same moment, at three nodes, are shared too late.
 
     Each node sees one crash and holds it back for a while, as most single
@@ -85,7 +85,7 @@
 
 
 @_FLEETS
-def test_ends_seen_one_after_the_other(fleet: _Fleet) -> None:
+def test_crashes_seen_one_after_the_other(fleet: _Fleet) -> None:
     """The third crash isn't shared at once.
 
     The client retries every second, each time at another node.
@@ -107,7 +107,9 @@
 
 @_FLEETS
 @pytest.mark.parametrize('trouble', [Trouble.SILENT, Trouble.BUSY])
-def test_store_is_out_as_replicas_end(fleet: _Fleet, trouble: Trouble) -> None:
+def test_store_outage_while_replicas_crash(
+    fleet: _Fleet, trouble: Trouble
+) -> None:
     """Crashes during an outage are not shared in time after it.
 
     The outage begins before the first crash and ends after the last one. The
@@ -173,7 +175,7 @@
 
 
 @_FLEETS
-def test_calls_for_ends_are_few(fleet: _Fleet) -> None:
+def test_crashes_cause_few_store_calls(fleet: _Fleet) -> None:
     """The loss of many replicas causes many calls to the store.
 
     Most interrupted requests then run elsewhere; their crashes must not be
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -96,7 +96,7 @@
     bootstrap_client.request_list = request_late  # type: ignore[method-assign]
 
 
-def test_what_is_refused_is_known_first() -> None:
+def test_quarantine_is_synced_first() -> None:
     """A starting node sends a request that has crashed three replicas.
 
     During an outage the quarantine arrives later than the registry.
@@ -160,7 +160,7 @@
     )
 
 
-def test_node_greeted_in_an_outage_asks_little() -> None:
+def test_bootstrapped_node_makes_few_calls() -> None:
     """A bootstrapped node calls a store that refuses it again and again.
 
     No peer announces one kind of object, so the node needs the store for it.
@@ -198,7 +198,7 @@
     run(play())
 
 
-def test_nobody_is_greeted_in_calm() -> None:
+def test_no_bootstrap_without_an_outage() -> None:
     """Nodes send bootstrap messages without an outage of the store."""
 
     async def play() -> None:
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -279,7 +279,7 @@
         await wait_until(lambda: node.count('exchange-left'))
 
 
-async def test_unreachable_replica_costs_no_booking() -> None:
+async def test_booking_survives_unreachable_replica() -> None:
     """A booking fails as its replica, still listed, can't be reached.
 
     Nothing was sent, so it may go to another replica.
--- a/tests/virtual/loop.py
+++ b/tests/virtual/loop.py
@@ -20,7 +20,7 @@
         """Return the virtual time in seconds."""
         return self._now
 
-    def stand_still(self, seconds: float) -> None:
+    def freeze(self, seconds: float) -> None:
         """Advance the time without running callbacks, as without a CPU."""
         self._now += seconds
 
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -25,14 +25,14 @@
 
     :param limit: requests per second that the replica reports in each answer;
         ``None`` if it reports no limit.
-    :param dark: nodes that can't be reached.
+    :param unreachable: nodes that can't be reached.
     :param sent: when each request reached the replica, and from which node.
     :param lines: log lines of all nodes.
     """
 
     limit: float | None
     nodes: dict[str, Throttle] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     sent: list[tuple[float, str]] = field(default_factory=list)
     lines: list[dict[str, Any]] = field(default_factory=list)
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
@@ -60,10 +60,12 @@
         if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.record_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_metadata(self.limit))
         return True
 
-    async def press(self, names: list[str], seconds: float, gap: float) -> None:
+    async def send_in_turn(
+        self, names: list[str], seconds: float, gap: float
+    ) -> None:
         """Send requests from some nodes in turn.
 
         :param seconds: how long to send.
@@ -76,7 +78,7 @@
                 self._tasks.append(asyncio.create_task(self._send_once(name)))
                 await asyncio.sleep(gap)
 
-    def count_most(self, since: float, span: float) -> int:
+    def count_max(self, since: float, span: float) -> int:
         """Return the maximum number of requests in any period of a length.
 
         :param since: time before which requests are ignored.
@@ -115,16 +117,18 @@
         return len(line)
 
     async def _dial(self, host: str, _: int) -> Any:
-        if host in self.dark:
+        if host in self.unreachable:
             await asyncio.Event().wait()
         await asyncio.sleep(LINK_SECONDS)
-        near, far = open_pair(lambda: host not in self.dark)
+        near, far = open_pair(lambda: host not in self.unreachable)
         serving = self.nodes[host].peer_sync.server.serve(*far)
         self._tasks.append(asyncio.create_task(serving))
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
+def make_metadata(
+    limit: float | None, *, signed: bool = True
+) -> AnswerMetadata:
     """Create the metadata of an answer that may report a rate limit.
 
     :param limit: requests per second; ``None`` for no limit.
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -12,10 +12,10 @@
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NodeEntry, compute_departure_bounds
 from ryelatch_core.quarantine import CrashTracker
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import Address
 from ryelatch_node.quarantine import Quarantine
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_platform._follow import Follower
 from ryelatch_platform._kinds import (
     Kind,
@@ -199,7 +199,14 @@
             kinds.append(self.make_unshared_kind())
         follower = Follower(store, peer_sync, log, clock, tuple(kinds))
         return VirtualNode(
-            name, view, configuration, peer_sync, store, follower, quarantine, lines
+            name,
+            view,
+            configuration,
+            peer_sync,
+            store,
+            follower,
+            quarantine,
+            lines,
         )
 
     def _dial(self, caller: str) -> Any:
