--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -98,7 +98,7 @@
         await wait_until(lambda: len(replicas.replicas) == 1, 2)
 
 
-async def test_lost_watcher_is_left() -> None:
+async def test_lost_watcher_is_abandoned() -> None:
     """The node that watches for others is killed; the follower watches."""
     async with (
         run_node(make_plain(2)) as node,
@@ -112,7 +112,7 @@
         assert any(line['name'] == 'watcher-left' for line in found)
 
 
-async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watcher_without_the_store_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """The watcher is cut off from the store and goes on to answer.
 
     A replica that left would get work from its followers, and a key that was
