--- /dev/null
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
@@ -0,0 +1,217 @@
+"""Explains the outcome of a request from the log lines of all processes."""
+
+import json
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from types import MappingProxyType
+from typing import Any
+
+LOOKBACK_SECONDS = 3.0
+"""How long before a request changes of state are considered relevant.
+
+An outage of the store affects requests three seconds later at the latest.
+"""
+
+_STATE_CHANGES = frozenset(
+    (
+        'store-out',
+        'store-back',
+        'store-call-cut',
+        'history-lost',
+        'configuration-applied',
+        'configuration-refused',
+        'configuration-stale',
+        'configuration-fresh',
+        'replica-leaving',
+        'replica-gone',
+        'replica-lapsed',
+        'replica-returned',
+        'registry-stale',
+        'registry-fresh',
+        'replica-suspected',
+        'upstream-down',
+        'order-sent',
+        'order-refused',
+        'order-unanswered',
+        'lease-taken',
+        'lease-lost',
+        'node-started',
+        'node-draining',
+        'node-stopped',
+        'task-crashed',
+        'lines-dropped',
+    )
+)
+
+_QUARANTINE_EVENTS = frozenset(
+    ('request-suspected', 'request-quarantined', 'request-released')
+)
+"""Events about all requests with the same digest, at any process."""
+
+_CAUSES = MappingProxyType(
+    {
+        'keys are unconfirmed': (
+            'the node had no fresh word from the store, so it could not know '
+            'whether the key was still valid'
+        ),
+        'layers are missing': 'no replica held some layers of the model',
+        'all paths are full': 'every path had a replica at its limit',
+        'no upstream has room': 'all replicas of the service refused it',
+        'the answer was lost': (
+            'an upstream received the request, but its answer was not received'
+        ),
+        'replicas ended under this request': (
+            'replicas had crashed that started this request, so it is not sent '
+            'to others; see request-suspected for each of them'
+        ),
+        'the time is over': 'no answer came within the timeout of the route',
+        'this node stops': 'the node was at the end of its planned stop',
+        'no configuration yet': 'the node had just started',
+        'no registry yet': 'the node had just started',
+        'no such route': 'the configuration in force had no such route',
+        'unknown key': 'the configuration in force had no such key',
+    }
+)
+
+
+@dataclass(frozen=True)
+class Line:
+    """A log line.
+
+    :param time: seconds since the epoch, by the clock of its VM.
+    :param detail: all fields of the line.
+    """
+
+    time: float
+    process: str
+    name: str
+    detail: Mapping[str, Any]
+
+
+@dataclass(frozen=True)
+class Explanation:
+    """The outcome of a request with the events that led to it.
+
+    :param lines: lines of the request itself, in order of time.
+    :param state_changes: lines about state changes of the same process shortly
+        before and during the request, and about replicas that crashed on
+        requests with the same digest.
+    :param cause: likely cause of the outcome, in a sentence.
+    """
+
+    lines: tuple[Line, ...]
+    state_changes: tuple[Line, ...]
+    cause: str
+
+
+def read_lines(texts: Iterable[str]) -> Iterator[Line]:
+    """Parse the log lines of one or more processes; other text is skipped."""
+    for text in texts:
+        start = text.find('{"time"')
+        if start < 0:
+            continue
+        try:
+            found = json.loads(text[start:])
+        except ValueError:
+            continue
+        yield Line(found['time'], found['process'], found['name'], found)
+
+
+def explain_request(lines: Iterable[Line], request: str) -> Explanation | None:
+    """Explain the outcome of a request.
+
+    :param request: id of the request.
+    :returns: ``None`` if no line names the request.
+    """
+    ordered = sorted(lines, key=lambda line: line.time)
+    request_lines = tuple(
+        line for line in ordered if line.detail.get('request') == request
+    )
+    if not request_lines:
+        return None
+    state_changes = tuple(
+        line
+        for line in ordered
+        if line.time <= request_lines[-1].time
+        and (
+            _is_relevant_change(line, request_lines)
+            or _has_same_digest(line, request_lines)
+        )
+    )
+    cause = _find_cause(request_lines, state_changes) + _describe_missing(
+        request_lines
+    )
+    return Explanation(request_lines, state_changes, cause)
+
+
+def _is_relevant_change(line: Line, request_lines: tuple[Line, ...]) -> bool:
+    """Return whether a line is a relevant state change at the same process."""
+    return (
+        line.name in _STATE_CHANGES
+        and line.time >= request_lines[0].time - LOOKBACK_SECONDS
+        and line.process in {one.process for one in request_lines}
+    )
+
+
+def _has_same_digest(line: Line, request_lines: tuple[Line, ...]) -> bool:
+    """Return whether a line is about crashes on requests of the same digest."""
+    digests = {one.detail.get('digest') for one in request_lines} - {None, ''}
+    return (
+        line.name in _QUARANTINE_EVENTS and line.detail.get('digest') in digests
+    )
+
+
+def _find_cause(
+    request_lines: tuple[Line, ...], state_changes: tuple[Line, ...]
+) -> str:
+    reasons = [
+        str(line.detail.get('reason'))
+        for line in request_lines
+        if line.name == 'exchange-refused'
+    ]
+    if reasons:
+        reason = reasons[-1].partition(',')[0]
+        return _add_last_change(_CAUSES.get(reason, reasons[-1]), state_changes)
+    failed = [line for line in request_lines if line.name == 'exchange-failed']
+    last = request_lines[-1].name
+    if last == 'exchange-left':
+        return 'the client closed its connection'
+    if failed:
+        where = failed[-1].detail
+        what = where.get('reason') or f'status {where.get("status")}'
+        message = f'replica {where.get("replica")} failed the attempt: {what}'
+        return _add_last_change(message, state_changes)
+    if last == 'exchange-ended':
+        return 'it was answered'
+    return 'its outcome is not in these lines'
+
+
+def _describe_missing(request_lines: tuple[Line, ...]) -> str:
+    """Describe for how long the entry of a chosen replica was missing.
+
+    :returns: an empty string if no entry was missing.
+    """
+    seconds = max(
+        (line.detail.get('missing', 0) for line in request_lines), default=0
+    )
+    if not seconds:
+        return ''
+    return f'; it was sent to a replica whose entry was missing for {seconds} s'
+
+
+def _add_last_change(cause: str, state_changes: tuple[Line, ...]) -> str:
+    if not state_changes:
+        return cause
+    line = state_changes[-1]
+    return f'{cause}; the last change before: {line.name}'
+
+
+def count_reasons(lines: Iterable[Line]) -> dict[str, int]:
+    """Count the reasons why requests were refused or attempts failed."""
+    counts: dict[str, int] = {}
+    for line in lines:
+        if line.name in {'exchange-refused', 'exchange-failed'}:
+            reason = line.detail.get('reason') or line.detail.get('status')
+            label = f'{line.name}: {reason}'
+            counts[label] = counts.get(label, 0) + 1
+    return dict(sorted(counts.items(), key=lambda pair: -pair[1]))
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -1,46 +1,51 @@
-"""Lays whole copies of a model over the replicas of a pool.
+"""Places complete copies of a model on the replicas of a pool.
 
-A stream that loses another replica of its path is moved; one that loses its
-first replica is cut off, and so are all that began there. So the first layers
-are held by the smallest replicas, which others can stand in for soonest, and
-twice where a pool has one copy: no single loss leaves it without a beginning.
+A stream that loses a later replica of its path is moved to another one. A
+stream that loses its first replica is cut off, together with all streams that
+began there. The first layers are therefore placed on the smallest replicas,
+since few layers are loaded elsewhere soonest. A pool with a single copy holds
+them twice, so that no single loss leaves it without a first replica.
 """
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
+from ryelatch_core.fleet._copy_groups import choose_copy_groups
 from ryelatch_core.fleet._pool import Move, fit_pool
-from ryelatch_core.fleet._rows import choose_rows
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
-from ryelatch_core.fleet._zones import LEAST_ROOM
+from ryelatch_core.fleet._zones import MIN_HEADROOM
 
-_MOST_ROOM = 200
-"""Most usual requests for which a replica keeps room; slots end at 192."""
+_MAX_HEADROOM = 200
+"""Largest headroom that is tried.
 
-_ROOMS = range(_MOST_ROOM, LEAST_ROOM - 1, -4)
-"""Usual requests for which a replica keeps room, tried from the most."""
+The headroom of a replica is the number of typical requests whose KV caches fit
+beside its weights. A replica has at most 192 slots.
+"""
+
+_HEADROOMS = range(_MAX_HEADROOM, MIN_HEADROOM - 1, -4)
+"""Headrooms that are tried for the replicas of a copy, largest first."""
 
-_RESERVE_SHARE = 0.65
-"""Share of a copy's room that must be left beside what is held in reserve.
+_RESERVE_RATIO = 0.65
+"""Fraction of a copy's headroom that must remain when replicas are reserved.
 
-Below that callers wait for places on a calm day.
+With less than this, requests wait for places under normal load.
 """
 
-_SPARES = 1
-"""Replicas of a pool that a first plan leaves empty.
+_SPARE_REPLICAS = 1
+"""Number of replicas of a pool that the first plan leaves empty.
 
-An empty replica takes over a lost one's layers in the time of one load. One
-that serves must first wait for the requests that pass through what it gives
-up, and these last up to ten seconds.
+An empty replica takes over the layers of a lost one in the time of one load. A
+serving replica must first wait for the requests that pass through the layers
+that it gives up, which takes up to ten seconds.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class _Roles:
-    """What each replica of a row is for.
+    """Roles of the replicas of one copy.
 
-    :param holders: hold the layers, one after the other; some of the last
-        may be left empty.
+    :param holders: hold the layers in sequence; some of the last ones may be
+        left empty.
     :param standby: holds the first layers a second time.
     """
 
@@ -48,106 +53,121 @@
     standby: Replica | None
 
 
-def lay_copies(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
-    """Plan a pool that holds nothing: the copies that serve the most.
+def place_copies(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
+    """Plan the copies with the highest request rate for an empty pool.
 
-    What is left over when they are whole is for steps that improve them.
+    Replicas that are left over are used by the later steps that improve a
+    plan.
     """
-    rows = choose_rows(pool, profile, _ROOMS, _find_room)
+    groups = choose_copy_groups(pool, profile, _HEADROOMS, _find_headroom)
     copies = [
         _assign_roles(
-            _put_smallest_first(row, profile), profile, alone=len(rows) == 1
+            _put_smallest_first(group, profile),
+            profile,
+            single_copy=len(groups) == 1,
         )
-        for row in rows
+        for group in groups
     ]
     return [
         Move(replica, layers)
         for roles in copies
-        for replica, layers in _lay_copy(roles, profile)
+        for replica, layers in _assign_layers(roles, profile)
     ]
 
 
-def lay_anew(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
-    """Spread the layers anew over a pool whose gaps no steps can close.
+def relayout_pool(pool: Sequence[Replica], profile: ModelProfile) -> list[Move]:
+    """Assign all layers of a pool anew.
 
-    Such a pool has lost a replica that held much; its paths go through other
-    pools until all of it is done. Replicas keep their order, so that most of
-    them keep some of what they hold.
+    This closes gaps that no single step can close.
+
+    Such a pool has lost a replica that held many layers. Paths go through
+    other pools until all commands are carried out. Replicas keep their order,
+    so that most of them keep some of their layers.
     """
     last = profile.layers
     ordered = sorted(
         pool,
-        key=lambda one: (one.layers.first if one.layers else last, one.name),
+        key=lambda replica: (
+            replica.layers.first if replica.layers else last,
+            replica.name,
+        ),
+    )
+    roles = _assign_roles(
+        ordered, profile, single_copy=_all_hold_first_layers(ordered[:2])
     )
-    roles = _assign_roles(ordered, profile, alone=_begin_alike(ordered[:2]))
     return [
         Move(replica, layers)
-        for replica, layers in _lay_copy(roles, profile)
+        for replica, layers in _assign_layers(roles, profile)
         if layers != replica.layers
     ]
 
 
-def _begin_alike(replicas: Sequence[Replica]) -> bool:
-    return all(one.layers and not one.layers.first for one in replicas)
+def _all_hold_first_layers(replicas: Sequence[Replica]) -> bool:
+    return all(
+        replica.layers and not replica.layers.first for replica in replicas
+    )
 
 
 def _put_smallest_first(
-    row: Sequence[Replica],
+    group: Sequence[Replica],
     profile: ModelProfile,
 ) -> list[Replica]:
-    """Put the two smallest replicas before the others of a row."""
+    """Put the two replicas with the least memory before the others."""
     smallest = sorted(
-        row,
-        key=lambda one: profile.accelerators[one.accelerator].memory_mb,
+        group,
+        key=lambda replica: profile.accelerators[replica.accelerator].memory_mb,
     )[:2]
-    names = {one.name for one in smallest}
-    return [*smallest, *(one for one in row if one.name not in names)]
+    names = {replica.name for replica in smallest}
+    return [
+        *smallest,
+        *(replica for replica in group if replica.name not in names),
+    ]
 
 
 def _assign_roles(
     ordered: Sequence[Replica],
     profile: ModelProfile,
     *,
-    alone: bool,
+    single_copy: bool,
 ) -> _Roles:
-    """Choose who holds the first layers twice, if the row has room for it.
+    """Choose a standby for the first layers, if the headroom allows it.
 
-    :param ordered: the second one is the one to do it.
-    :param alone: whether no other row of the pool begins a copy.
+    :param ordered: replicas of a copy; the second one becomes the standby.
+    :param single_copy: whether no other copy begins in this pool.
     """
-    whole = _Roles(ordered, None)
-    if not alone or len(ordered) < 2:
-        return whole
+    without_standby = _Roles(ordered, None)
+    if not single_copy or len(ordered) < 2:
+        return without_standby
     first, standby, *others = ordered
     holders = [first, *others]
-    least = _find_room(ordered, profile) * _RESERVE_SHARE
-    if _find_room(holders, profile) < max(least, LEAST_ROOM):
-        return whole
+    min_headroom = _find_headroom(ordered, profile) * _RESERVE_RATIO
+    if _find_headroom(holders, profile) < max(min_headroom, MIN_HEADROOM):
+        return without_standby
     return _Roles(holders, standby)
 
 
-def _lay_copy(
+def _assign_layers(
     roles: _Roles,
     profile: ModelProfile,
 ) -> Iterator[tuple[Replica, LayerRange]]:
     sizes = _choose_sizes(roles.holders, profile)
     if roles.standby and sizes[0]:
         yield roles.standby, LayerRange(0, sizes[0])
-    yield from _lay_row(roles.holders, sizes, profile.layers)
+    yield from _assign_ranges(roles.holders, sizes, profile.layers)
 
 
-def _lay_row(
+def _assign_ranges(
     ordered: Sequence[Replica],
     sizes: Sequence[int],
     layers: int,
 ) -> Iterator[tuple[Replica, LayerRange]]:
-    """Lay ranges of some sizes one after the other over all layers."""
+    """Assign consecutive ranges of given sizes until all layers are held."""
     first = 0
     for replica, size in zip(ordered, sizes, strict=True):
         if size and first < layers:
             end = min(first + size, layers)
-            # The last range reaches back to its full size: held twice is
-            # better than memory that lies idle.
+            # The last range is extended backwards to its full size: layers held
+            # twice are better than unused memory.
             yield replica, LayerRange(max(0, end - size), end)
             first = end
 
@@ -156,24 +176,24 @@
     ordered: Sequence[Replica],
     profile: ModelProfile,
 ) -> list[int]:
-    """Choose the ranges' sizes that leave the most room in a whole copy.
+    """Choose the range sizes that give the copy the largest headroom.
 
-    A spare is kept unless it would cost too much of that room.
+    One replica stays empty unless that would cost too much headroom.
     """
-    most = _find_room(ordered, profile)
-    spared = _find_room(ordered[:-_SPARES], profile)
-    if spared >= most * _RESERVE_SHARE:
-        most = spared
-    return fit_pool(ordered, profile, most or LEAST_ROOM)
+    max_headroom = _find_headroom(ordered, profile)
+    with_spare = _find_headroom(ordered[:-_SPARE_REPLICAS], profile)
+    if with_spare >= max_headroom * _RESERVE_RATIO:
+        max_headroom = with_spare
+    return fit_pool(ordered, profile, max_headroom or MIN_HEADROOM)
 
 
-def _find_room(ordered: Sequence[Replica], profile: ModelProfile) -> int:
-    """Find the most room that a whole copy leaves; 0 if there is none."""
+def _find_headroom(ordered: Sequence[Replica], profile: ModelProfile) -> int:
+    """Find the largest headroom that a complete copy leaves; 0 if none fits."""
     return next(
         (
-            room
-            for room in _ROOMS
-            if sum(fit_pool(ordered, profile, room)) >= profile.layers
+            headroom
+            for headroom in _HEADROOMS
+            if sum(fit_pool(ordered, profile, headroom)) >= profile.layers
         ),
         0,
     )
--- /dev/null
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_retry_delays.py
@@ -0,0 +1,63 @@
+"""Assigns the delays after which refused clients may retry.
+
+When many clients are refused within seconds and are given the same delay, they
+all return together, find the places taken by clients that came meanwhile, and
+are refused again. Each client is therefore given its own time, later than
+those refused before it, at the rate at which places become free. A short surge
+is over by the time the later clients return.
+"""
+
+import math
+
+RATE_SECONDS = 2.0
+"""Averaging time of the rate of places: the duration of a typical answer."""
+
+RETRY_FRACTION = 0.25
+"""Fraction of the places that is planned for clients that retry.
+
+The others go to new requests: to its client, an answer in time is worth four
+late ones.
+"""
+
+MIN_RATE = 0.5
+"""Lower bound of the expected places per second, so that a delay is finite."""
+
+MIN_DELAY_SECONDS = 1.0
+"""Minimum delay: half of a typical answer, so some places are free by then."""
+
+MAX_WAIT_FRACTION = 0.333
+"""Maximum fraction of a client's remaining time that a delay may take."""
+
+_SPREAD = 0.3
+"""Fraction of the maximum delay over which later retries are spread."""
+
+
+class RetryScheduler:
+    """Retry times that one node has assigned to refused clients."""
+
+    def __init__(self) -> None:
+        self._rate = 0.0
+        self._updated = 0.0
+        self._last_retry_at = 0.0
+
+    def record_start(self, now: float) -> None:
+        """Record that a request was admitted."""
+        self._rate = self._decay(now) + 1 / RATE_SECONDS
+        self._updated = now
+
+    def assign_delay(self, now: float, left: float, sample: float) -> float:
+        """Return the seconds after which a refused client may retry.
+
+        :param left: seconds that the client goes on waiting for an answer.
+        :param sample: random number from 0 to 1.
+        """
+        rate = max(MIN_RATE, self._decay(now) * RETRY_FRACTION)
+        retry_at = max(now + MIN_DELAY_SECONDS, self._last_retry_at + 1 / rate)
+        max_wait = left * MAX_WAIT_FRACTION
+        if retry_at - now >= max_wait:
+            return max_wait * (1 - _SPREAD * sample)
+        self._last_retry_at = retry_at
+        return retry_at - now
+
+    def _decay(self, now: float) -> float:
+        return self._rate * math.exp((self._updated - now) / RATE_SECONDS)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -1,29 +1,29 @@
-"""Requests under which replicas end, and when they are refused."""
+"""Requests that crash replicas, and how they are recognized and refused."""
 
-from ryelatch_core.quarantine._book import (
-    FRESH_SECONDS,
-    Book,
-    Step,
+from ryelatch_core.quarantine._causes import CRASH_THRESHOLD
+from ryelatch_core.quarantine._crashes import (
+    MAX_INCARNATIONS,
+    NO_CRASHES,
+    Crashes,
+    RequestPhase,
+    StoredCrashes,
 )
-from ryelatch_core.quarantine._case import (
-    MOST_LIVES,
-    NO_CASE,
-    Case,
-    Manner,
-    StoredCase,
-)
-from ryelatch_core.quarantine._causes import MOST_ENDS
 from ryelatch_core.quarantine._digest import digest_request
+from ryelatch_core.quarantine._tracker import (
+    CRASH_WINDOW_SECONDS,
+    CrashTracker,
+    StoreWrite,
+)
 
 __all__ = [
-    'FRESH_SECONDS',
-    'MOST_ENDS',
-    'MOST_LIVES',
-    'NO_CASE',
-    'Book',
-    'Case',
-    'Manner',
-    'Step',
-    'StoredCase',
+    'CRASH_THRESHOLD',
+    'CRASH_WINDOW_SECONDS',
+    'MAX_INCARNATIONS',
+    'NO_CRASHES',
+    'CrashTracker',
+    'Crashes',
+    'RequestPhase',
+    'StoreWrite',
+    'StoredCrashes',
     'digest_request',
 ]
--- /dev/null
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_crash_state.py
@@ -0,0 +1,31 @@
+"""What a node knows about one request under which replicas crashed."""
+
+from dataclasses import dataclass
+
+from ryelatch_core.quarantine._crashes import NO_CRASHES, Crashes, StoredCrashes
+
+
+@dataclass(frozen=True, slots=True)
+class CrashState:
+    """Crashes under one request, seen by this node or read from the store.
+
+    :param local: crashes that this node has seen, or has to write again.
+    :param stored: the object in the store, if there is one.
+    :param changed: monotonic seconds of the last change.
+    :param due: monotonic seconds from which local crashes are written.
+    """
+
+    local: Crashes = NO_CRASHES
+    stored: StoredCrashes | None = None
+    changed: float = 0
+    due: float = 0
+
+    @property
+    def shared(self) -> Crashes:
+        """Crashes that the store holds."""
+        return self.stored.crashes if self.stored else NO_CRASHES
+
+    @property
+    def crashes(self) -> Crashes:
+        """All known crashes."""
+        return self.local.merge(self.shared)
--- a/packages/ryelatch-core/src/ryelatch_core/routing/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""What operators configure of routes and accounts, and what it allows."""
+"""Configuration of routes, services and client accounts, and look-ups in it."""
 
 from ryelatch_core.routing._confirmation import Confirmation
 from ryelatch_core.routing._table import (
@@ -10,9 +10,9 @@
     Account,
     ClientLimits,
     Configuration,
-    Repeat,
+    RetryPolicy,
     Route,
-    ServiceTerms,
+    ServiceConfiguration,
     Split,
 )
 
@@ -21,10 +21,10 @@
     'ClientLimits',
     'Configuration',
     'Confirmation',
-    'Repeat',
+    'RetryPolicy',
     'Route',
     'RoutingTable',
-    'ServiceTerms',
+    'ServiceConfiguration',
     'Split',
     'build_table',
     'choose_service',
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_queue.py
@@ -1,19 +1,22 @@
-"""Fair queue over client accounts, in virtual time of work done."""
+"""Fair queue over client accounts, ordered by virtual time."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 from result import Err, Ok, Result
 
-RESERVED = 2
+RESERVED_SLOTS = 2
+"""Requests that an account may run even if all slots are taken."""
 
 
 @dataclass(frozen=True)
 class Ticket:
-    """A request that waits for its turn.
+    """A request that is waiting or running.
 
-    :param work: what it is expected to cost, in positions run.
-    :param expires: monotonic seconds at which waiting is pointless.
+    :param number: identifies the request at this node.
+    :param weight: weight of the account in fair sharing.
+    :param work: expected work, in token positions to compute.
+    :param expires: monotonic seconds at which the request stops waiting.
     """
 
     number: int
@@ -25,7 +28,11 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds of one client account at this node."""
+    """Bounds of one client account at this node.
+
+    :param concurrent: largest number of running requests.
+    :param queue: largest number of waiting requests.
+    """
 
     concurrent: int
     queue: int
@@ -33,9 +40,9 @@
 
 @dataclass(frozen=True)
 class Shed:
-    """Why a request is not let in.
+    """Reason why a request is rejected.
 
-    :param retry_after: seconds until there may be room.
+    :param retry_after: estimated seconds until the queue has room.
     """
 
     reason: str
@@ -43,12 +50,15 @@
 
 
 @dataclass
-class _Lane:
-    """One client account's waiting and running requests."""
+class _AccountState:
+    """Waiting and running requests of one client account.
+
+    :param virtual_finish: virtual time at which its last started request ends.
+    """
 
     waiting: deque[Ticket] = field(default_factory=deque)
     running: int = 0
-    finish: float = 0.0
+    virtual_finish: float = 0.0
     limits: Limits = Limits(1, 1)
     weight: float = 1
 
@@ -56,8 +66,8 @@
 class FairQueue:
     """Start-time fair queuing (Goyal et al., 1996) over client accounts.
 
-    A small account waits behind its own requests only, and an idle one banks
-    no credit: its next request starts at the virtual time of now.
+    A small account waits only behind its own requests. An idle account saves
+    up no credit: its next request starts at the current virtual time.
 
     :param slots: requests that may run at once.
     """
@@ -66,64 +76,70 @@
         self.slots = slots
         self.caps: dict[str, int] = {}
         self.running = 0
-        self._now = 0.0
-        self._lanes: dict[str, _Lane] = {}
+        self._virtual_time = 0.0
+        self._accounts: dict[str, _AccountState] = {}
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
-        return sum(len(lane.waiting) for lane in self._lanes.values())
+        """Number of waiting requests."""
+        return sum(len(state.waiting) for state in self._accounts.values())
 
     def count_demand(self) -> dict[str, int]:
-        """Count requests running or waiting for each busy account."""
+        """Count running and waiting requests of each account that has any."""
         return {
-            account: lane.running + len(lane.waiting)
-            for account, lane in self._lanes.items()
-            if lane.running or lane.waiting
+            account: state.running + len(state.waiting)
+            for account, state in self._accounts.items()
+            if state.running or state.waiting
         }
 
     def offer(self, ticket: Ticket, limits: Limits) -> Result[None, Shed]:
-        """Let a request wait, or shed it at once."""
-        lane = self._lanes.setdefault(ticket.account, _Lane())
-        lane.limits = limits
-        lane.weight = ticket.weight
-        if len(lane.waiting) >= limits.queue:
-            # A queue without a bound turns a surge into answers that all
-            # come too late; it shows as rising latency with no errors.
-            return Err(Shed('queue-full', _guess_wait(lane)))
-        if not (lane.waiting or lane.running):
-            lane.finish = max(lane.finish, self._now)
-        lane.waiting.append(ticket)
+        """Queue a request, or reject it if its account's queue is full."""
+        state = self._accounts.setdefault(ticket.account, _AccountState())
+        state.limits = limits
+        state.weight = ticket.weight
+        if len(state.waiting) >= limits.queue:
+            # With an unbounded queue, all answers come too late in a surge,
+            # which shows as rising latency without errors.
+            return Err(Shed('queue-full', _estimate_wait(state)))
+        if not (state.waiting or state.running):
+            state.virtual_finish = max(state.virtual_finish, self._virtual_time)
+        state.waiting.append(ticket)
         return Ok(None)
 
     def take(self, now: float) -> Ticket | None:
-        """Take the request whose account is furthest behind its share.
+        """Take the next request, of the account furthest behind its share.
 
-        :param now: monotonic seconds; expired requests are passed over and
-            come out of :meth:`expire`.
+        :param now: monotonic seconds; not used, as expired requests are taken
+            out by :meth:`expire` and :meth:`withdraw`.
+        :returns: ``None`` if no request may start.
         """
         ready = [
-            (lane.finish, account)
-            for account, lane in self._lanes.items()
-            if lane.waiting and self._has_room(account, lane)
+            (state.virtual_finish, account)
+            for account, state in self._accounts.items()
+            if state.waiting and self._may_start(account, state)
         ]
         if not ready:
             return None
         start, account = min(ready)
-        lane = self._lanes[account]
-        ticket = lane.waiting.popleft()
-        self._now = max(self._now, start)
-        lane.finish = max(start, self._now) + ticket.work / ticket.weight
-        lane.running += 1
+        state = self._accounts[account]
+        ticket = state.waiting.popleft()
+        self._virtual_time = max(self._virtual_time, start)
+        state.virtual_finish = (
+            max(start, self._virtual_time) + ticket.work / ticket.weight
+        )
+        state.running += 1
         self.running += 1
         return ticket
 
     def expire(self, now: float) -> list[Ticket]:
-        """Take out the requests that have waited too long."""
+        """Remove the requests that have waited too long.
+
+        :param now: monotonic seconds.
+        """
         expired = [
             ticket
-            for lane in self._lanes.values()
-            for ticket in lane.waiting
+            for state in self._accounts.values()
+            for ticket in state.waiting
             if ticket.expires <= now
         ]
         for ticket in expired:
@@ -131,36 +147,45 @@
         return expired
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take out a waiting request; tell whether it still waited."""
-        lane = self._lanes[ticket.account]
-        if ticket not in lane.waiting:
+        """Remove a waiting request.
+
+        :returns: whether it was still waiting.
+        """
+        state = self._accounts[ticket.account]
+        if ticket not in state.waiting:
             return False
-        lane.waiting.remove(ticket)
+        state.waiting.remove(ticket)
         self._forget_idle(ticket.account)
         return True
 
     def finish(self, ticket: Ticket, work: float) -> None:
-        """End a running request and charge what it really cost."""
-        lane = self._lanes[ticket.account]
-        lane.running -= 1
+        """Finish a running request and charge the work that it really took.
+
+        :param work: token positions that were computed.
+        """
+        state = self._accounts[ticket.account]
+        state.running -= 1
         self.running -= 1
-        lane.finish += (work - ticket.work) / ticket.weight
+        state.virtual_finish += (work - ticket.work) / ticket.weight
         self._forget_idle(ticket.account)
 
-    def _has_room(self, account: str, lane: _Lane) -> bool:
-        cap = min(lane.limits.concurrent, self.caps.get(account, self.slots))
-        if lane.running >= cap:
+    def _may_start(self, account: str, state: _AccountState) -> bool:
+        cap = min(state.limits.concurrent, self.caps.get(account, self.slots))
+        if state.running >= cap:
             return False
-        # With every slot taken by a surge, an account that was idle would
-        # wait for the end of some long answer. Its floor lets it start at
-        # once; the engines then run a few streams more than their slots.
-        return self.running < self.slots or lane.running < RESERVED
+        # With every slot taken in a surge, an account that was idle would
+        # wait until some long answer is finished. Its reserved slots let it
+        # start at once; engines then run a few streams more than their slots.
+        return self.running < self.slots or state.running < RESERVED_SLOTS
 
     def _forget_idle(self, account: str) -> None:
-        lane = self._lanes[account]
-        if not (lane.waiting or lane.running) and lane.finish <= self._now:
-            del self._lanes[account]
+        state = self._accounts[account]
+        if (
+            not (state.waiting or state.running)
+            and state.virtual_finish <= self._virtual_time
+        ):
+            del self._accounts[account]
 
 
-def _guess_wait(lane: _Lane) -> float:
-    return max(1, len(lane.waiting) / max(1, lane.running))
+def _estimate_wait(state: _AccountState) -> float:
+    return max(1, len(state.waiting) / max(1, state.running))
--- a/packages/ryelatch-node/src/ryelatch_node/control/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/__init__.py
@@ -1,6 +1,6 @@
-"""Duties that one node holds at a time: repair of the engines' layers."""
+"""Tasks that one node performs at a time under a lease: repair of layers."""
 
-from ryelatch_node.control._keeper import Held, LeaseKeeper
+from ryelatch_node.control._lease_manager import HeldLease, LeaseManager
 from ryelatch_node.control._service import Repair, setup
 
-__all__ = ['Held', 'LeaseKeeper', 'Repair', 'setup']
+__all__ = ['HeldLease', 'LeaseManager', 'Repair', 'setup']
--- /dev/null
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
@@ -0,0 +1,104 @@
+"""Initial state from a peer, for a node that starts during a store outage."""
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import msgspec
+
+from ryelatch_core.events import LineLog, catalogue
+from ryelatch_core.kernel import Clock
+from ryelatch_core.membership import NodeEntry
+from ryelatch_node.peer_sync._connection import (
+    CONNECT_SECONDS,
+    REQUEST_ERRORS,
+    Dial,
+    connect_to_peer,
+)
+from ryelatch_node.peer_sync._frames import (
+    BootstrapMessage,
+    BootstrapReply,
+    ListReply,
+    ListRequest,
+    unpack,
+)
+from ryelatch_node.peer_sync._watch_cache import StoreUpdate
+
+LIST_SECONDS = 0.7
+"""Longest wait for all objects of a kind, which may be two megabytes."""
+
+
+@dataclass(eq=False)
+class BootstrapClient:
+    """Receives bootstrap messages, and lists objects from their sender.
+
+    :param is_synced: whether this node has the state it needs to serve.
+    :param accept_nodes: called with the list of nodes that a peer sent.
+    :param peer_available: set while there is a peer to list objects from.
+    """
+
+    log: LineLog
+    clock: Clock
+    dial: Dial
+    is_synced: Callable[[], bool]
+    accept_nodes: Callable[[tuple[NodeEntry, ...]], None]
+    peer_available: asyncio.Event = field(default_factory=asyncio.Event)
+    _source: NodeEntry | None = None
+
+    def handle_message(self, message: BootstrapMessage) -> BootstrapReply:
+        """Use the sender as the source of state, if this node needs one."""
+        nodes = {node.name: node for node in message.nodes}
+        source = nodes.get(message.name)
+        if source is not None and not self.is_synced():
+            self._source = source
+            self.accept_nodes(message.nodes)
+            self.log.record(
+                catalogue.GREETING_TAKEN, peer=source.name, nodes=len(nodes)
+            )
+            self.peer_available.set()
+        return BootstrapReply(self.is_synced())
+
+    async def request_list(self, kind: str) -> StoreUpdate | None:
+        """Request all objects of a kind from the peer that made contact.
+
+        :returns: nothing if no peer has, or if the request fails; this node
+            then waits for a message from another peer.
+        """
+        peer = self._source
+        if peer is None:
+            return None
+        sent = self.clock.monotonic()
+        try:
+            async with asyncio.timeout(CONNECT_SECONDS + LIST_SECONDS):
+                reply = await self._exchange(peer, ListRequest(kind))
+            changes = unpack(reply.packed)
+        except REQUEST_ERRORS as error:
+            # Timeouts included.
+            self._abandon(peer, kind, type(error).__name__)
+            return None
+        if not reply.known:
+            self._abandon(peer, kind, 'unknown')
+            return None
+        unanswered = (
+            None if reply.unanswered is None else sent - reply.unanswered
+        )
+        return StoreUpdate(reply.at, sent - reply.age, changes, unanswered)
+
+    async def _exchange(
+        self,
+        peer: NodeEntry,
+        request: ListRequest,
+    ) -> ListReply:
+        connection = await connect_to_peer(self.dial, peer.address)
+        try:
+            body = await connection.send_request(request)
+        finally:
+            connection.drop()
+        return msgspec.msgpack.decode(body, type=ListReply)
+
+    def _abandon(self, peer: NodeEntry, kind: str, reason: str) -> None:
+        self._source = None
+        self.peer_available.clear()
+        self.log.record(
+            catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
+        )
--- /dev/null
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -0,0 +1,164 @@
+"""Serves the requests of peers."""
+
+import asyncio
+import contextlib
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TypeAlias
+
+import msgspec
+
+from ryelatch_core.events import UsageTracker
+from ryelatch_core.kernel import Clock, cancel_task
+from ryelatch_core.membership import NEVER
+from ryelatch_node.peer_sync._connection import REQUEST_ERRORS
+from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS
+from ryelatch_node.peer_sync._frames import (
+    BootstrapMessage,
+    BootstrapReply,
+    ListReply,
+    ListRequest,
+    PermitReply,
+    PermitRequest,
+    WatchReply,
+    WatchRequest,
+    encode,
+    read_body,
+)
+from ryelatch_node.peer_sync._watch_cache import (
+    STORE_HEALTHY,
+    UNKNOWN_AGE_SECONDS,
+    StoreHealth,
+    WatchCache,
+)
+
+_AnyRequest: TypeAlias = (
+    WatchRequest | PermitRequest | BootstrapMessage | ListRequest
+)
+
+MAX_WAIT_SECONDS = 30.0
+"""Longest wait that a peer may request."""
+
+
+def _deny_permit(request: PermitRequest) -> PermitReply:
+    return PermitReply(False, COOLDOWN_SECONDS, request.limit, request.age)
+
+
+def _ignore_message(message: BootstrapMessage) -> BootstrapReply:
+    return BootstrapReply(knows=True)
+
+
+@dataclass(eq=False)
+class PeerServer:
+    """Serves watches, lists and permits to peers.
+
+    :param caches: objects and recent changes of the store, by kind.
+    :param find_store_health: returns the store's availability to this node.
+    :param handle_permit_request: grants or denies a permit to a peer.
+    :param handle_message: handles the message of a peer that introduces
+        itself.
+    :param last_watched: when a peer last requested a watch that it could have
+        sent to the store, in monotonic seconds.
+    """
+
+    clock: Clock
+    usage: UsageTracker
+    caches: dict[str, WatchCache]
+    find_store_health: Callable[[], StoreHealth] = lambda: STORE_HEALTHY
+    handle_permit_request: Callable[[PermitRequest], PermitReply] = _deny_permit
+    handle_message: Callable[[BootstrapMessage], BootstrapReply] = (
+        _ignore_message
+    )
+    last_watched: float = NEVER
+    _tasks: set['asyncio.Task[None]'] = field(default_factory=set)
+
+    async def serve(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        """Serve one peer until it closes the connection."""
+        task = asyncio.current_task()
+        assert task is not None
+        self._tasks.add(task)
+        try:
+            while True:
+                await self._serve_request(reader, writer)
+        except REQUEST_ERRORS:
+            # The peer is lost, or the client is not a peer. A peer retries, or
+            # sends its request to the store.
+            return
+        except asyncio.CancelledError:
+            # Only in stop(). Not raised again, as asyncio's callback for this
+            # task would report a cancelled one as an unhandled error.
+            return
+        finally:
+            self._tasks.discard(task)
+            with contextlib.suppress(OSError):
+                writer.transport.abort()
+
+    async def stop(self) -> None:
+        """Stop serving all peers."""
+        for task in tuple(self._tasks):
+            await cancel_task(task)
+
+    async def _serve_request(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        body = await read_body(reader)
+        request = msgspec.msgpack.decode(body, type=_AnyRequest)
+        match request:
+            case PermitRequest():
+                frame = encode(self.handle_permit_request(request))
+            case BootstrapMessage():
+                frame = encode(self.handle_message(request))
+            case ListRequest():
+                frame = encode(self._make_list_reply(request))
+            case WatchRequest():
+                frame = await self._serve_watch(request)
+        writer.write(frame)
+        await writer.drain()
+
+    def _make_list_reply(self, request: ListRequest) -> ListReply:
+        cache = self.caches.get(request.kind)
+        if cache is None:
+            return ListReply(known=False)
+        now = self.clock.monotonic()
+        reply = cache.make_list_reply(now)
+        unanswered = self.find_store_health().unanswered
+        if unanswered > NEVER:
+            reply = msgspec.structs.replace(reply, unanswered=now - unanswered)
+        return reply
+
+    async def _serve_watch(self, request: WatchRequest) -> bytes:
+        received = self.clock.monotonic()
+        if not request.whole:
+            self.last_watched = received
+        reply = await self._make_watch_reply(request, received)
+        now = self.clock.monotonic()
+        health = self.find_store_health()
+        if health.unanswered > NEVER:
+            reply = msgspec.structs.replace(
+                reply, unanswered=now - health.unanswered, out=health.out
+            )
+        frame = encode(reply)
+        if request.kind in self.caches:
+            self.usage.count('peers', request.kind, 'answers')
+            self.usage.count('peers', request.kind, 'bytes', number=len(frame))
+        return frame
+
+    async def _make_watch_reply(
+        self, request: WatchRequest, received: float
+    ) -> WatchReply:
+        """Wait for changes of a kind, if this node follows that kind."""
+        cache = self.caches.get(request.kind)
+        if cache is None:
+            return WatchReply(covered=False, age=UNKNOWN_AGE_SECONDS)
+        wait = min(MAX_WAIT_SECONDS, max(0, request.wait))
+        await cache.wait(request.since, received, wait)
+        now = self.clock.monotonic()
+        return cache.make_reply(
+            request.since, received, now, whole=request.whole
+        )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests are served, and by which service."""
+"""Decides which requests are admitted, and which service serves them."""
 
 from dataclasses import dataclass
 
@@ -6,28 +6,32 @@
 
 from ryelatch_core.quarantine import digest_request
 from ryelatch_core.routing import Route, RoutingTable, choose_service
-from ryelatch_node.ports import RequestTerms
-from ryelatch_node.relay._exchange import Inquiry
-from ryelatch_node.relay._parts import Parts
+from ryelatch_node.ports import RequestMetadata
+from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._exchange import AdmittedRequest
 
-SURE_SECONDS = 2.9
-"""Age of the configuration up to which "no such route" is taken as true.
+MAX_DENIAL_AGE_SECONDS = 2.9
+"""Age of the configuration up to which requests are answered 401 or 404.
 
-A node that has not heard of a change must not deny what it allows; it says
-that it can't serve now. A watch confirms every two seconds.
+A node that has not received a change must not deny a request that the change
+allows, so beyond this age it answers 503. A watch confirms the configuration
+every two seconds.
 """
 
-UNSURE_RETRY = 0.5
-"""When a client may come back to, most likely, another node."""
+UNCONFIRMED_RETRY_SECONDS = 0.5
+"""Retry-After while the configuration is missing or unconfirmed.
 
-QUARANTINE_RETRY = 60.0
-"""When a client may come back with a request under which replicas ended.
+The retry most likely reaches another node.
+"""
+
+QUARANTINE_RETRY_SECONDS = 60.0
+"""Retry-After of a request that is quarantined, as replicas crashed under it.
 
-It is refused for minutes, or until an operator lets it in.
+It is refused for minutes, or until an operator releases it.
 """
 
-LIST_RETRY = 0.2
-"""When a client may come back to a node that is about to list replicas.
+LIST_RETRY_SECONDS = 0.2
+"""Retry-After before the first list of replicas was received.
 
 The list takes 5 ms, and 0.3 s where the store is slowed sixtyfold.
 """
@@ -39,10 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request isn't served.
+    """Why a request is refused.
 
-    :param digest: of a request under which replicas ended.
-    :param ended: those replicas, by the names of their lives.
+    :param status: HTTP status of the answer.
+    :param retry_after: seconds after which the client should retry, if any.
+    :param digest: digest of a quarantined request; empty for other refusals.
+    :param ended: names of the replicas' incarnations that crashed under it.
     """
 
     status: int
@@ -53,105 +59,122 @@
 
 
 @dataclass(slots=True)
-class StopState:
-    """How far the stop of this node has come.
+class ShutdownState:
+    """How far the planned shutdown of this node has advanced.
 
-    :param closing: set while this node is to be left by its clients.
-    :param refuses_streams: set when a stream might outlast this process.
-    :param last_call: set when any request might.
+    :param closing: set from the start of the shutdown on: the node reports
+        that it is not ready, and its answers close their connections.
+    :param refuses_streams: set once a new stream might outlast this process.
+    :param refuses_all: set once any new request might, so that all are refused.
     """
 
     closing: bool = False
     refuses_streams: bool = False
-    last_call: bool = False
+    refuses_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
-    """A request that was read whole.
+class ReceivedRequest:
+    """A request whose body was received completely.
 
-    :param seconds: when its head came, in monotonic seconds.
+    :param received_at: when its headers were received, in monotonic seconds.
     """
 
     scope: Scope
-    terms: RequestTerms
+    terms: RequestMetadata
     body: bytes
-    seconds: float
+    received_at: float
 
 
 def admit(
-    parts: Parts, stops: StopState, arrival: Arrival
-) -> Inquiry | Refusal:
-    """Decide whether a request is served, and by which service."""
-    table = parts.configuration.table
+    context: RelayContext, shutdown: ShutdownState, received: ReceivedRequest
+) -> AdmittedRequest | Refusal:
+    """Decide whether to serve a request, and by which service.
+
+    :returns: the admitted request, or why it is refused.
+    """
+    table = context.configuration.table
     if table is None:
-        return Refusal(_UNAVAILABLE, 'no configuration yet', UNSURE_RETRY)
-    if not parts.replicas.listed:
-        # Refused as lacking layers, a client would be told to wait for
-        # a repair, while the list comes within milliseconds.
-        return Refusal(_UNAVAILABLE, 'no registry yet', LIST_RETRY)
-    if stops.last_call:
+        return Refusal(
+            _UNAVAILABLE, 'no configuration yet', UNCONFIRMED_RETRY_SECONDS
+        )
+    if not context.replicas.listed:
+        # Without a list all layers seem to be missing, and the client would
+        # get the Retry-After of a repair. The list comes within milliseconds.
+        return Refusal(_UNAVAILABLE, 'no registry yet', LIST_RETRY_SECONDS)
+    if shutdown.refuses_all:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    scope, terms = arrival.scope, arrival.terms
+    scope, terms = received.scope, received.terms
     host = _read_host(scope)
     path = scope['raw_path'].decode('latin-1')
     route = table.find_route(host, path)
     if route is None:
-        return _deny(parts, _NOT_FOUND, 'no such route')
-    if stops.refuses_streams and route.streaming:
+        return _deny(context, _NOT_FOUND, 'no such route')
+    if shutdown.refuses_streams and route.streaming:
         return Refusal(_UNAVAILABLE, 'this node stops', 0)
-    account = _identify(parts, table, route, terms)
+    account = _identify(context, table, route, terms)
     if isinstance(account, Refusal):
         return account
     method, target = scope['method'], _read_target(scope, path)
-    digest = digest_request(host, method, target, account, arrival.body)
-    case = parts.quarantine.find_refused(digest)
-    if case is not None:
+    digest = digest_request(host, method, target, account, received.body)
+    crashes = context.quarantine.find_refused(digest)
+    if crashes is not None:
         return Refusal(
             _UNAVAILABLE,
             'replicas ended under this request',
-            QUARANTINE_RETRY,
+            QUARANTINE_RETRY_SECONDS,
             digest,
-            tuple(sorted(case.lives)),
+            tuple(sorted(crashes.incarnations)),
         )
-    patience = min(route.timeout, terms.deadline or route.timeout)
-    return Inquiry(
+    timeout = min(route.timeout, terms.deadline or route.timeout)
+    return AdmittedRequest(
         method,
         target,
         scope['headers'],
-        arrival.body,
+        received.body,
         terms,
         route,
-        choose_service(route, parts.draw()),
+        choose_service(route, context.draw()),
         account,
-        arrival.seconds,
-        arrival.seconds + patience,
+        received.received_at,
+        received.received_at + timeout,
         table.configuration.version,
         digest,
     )
 
 
 def _identify(
-    parts: Parts,
+    context: RelayContext,
     table: RoutingTable,
     route: Route,
-    terms: RequestTerms,
+    terms: RequestMetadata,
 ) -> str | Refusal:
-    """Find the name of the client account; empty on anonymous routes."""
+    """Find the name of the request's client account by its key.
+
+    :returns: the name, empty on anonymous routes; or why the request is
+        refused.
+    """
     if route.anonymous or not table.configuration.accounts:
         return ''
-    if not parts.configuration.allows_keys():
-        return Refusal(_UNAVAILABLE, 'keys are unconfirmed', UNSURE_RETRY)
+    if not context.configuration.allows_keys():
+        return Refusal(
+            _UNAVAILABLE, 'keys are unconfirmed', UNCONFIRMED_RETRY_SECONDS
+        )
     account = table.find_account(terms.key)
     if account is None:
-        return _deny(parts, _UNAUTHORIZED, 'unknown key')
+        return _deny(context, _UNAUTHORIZED, 'unknown key')
     return account.name
 
 
-def _deny(parts: Parts, status: int, reason: str) -> Refusal:
-    """Deny what no configuration allows, if this node can be sure."""
-    if parts.configuration.age > SURE_SECONDS:
-        return Refusal(_UNAVAILABLE, f'{reason}, unconfirmed', UNSURE_RETRY)
+def _deny(context: RelayContext, status: int, reason: str) -> Refusal:
+    """Refuse a request that the configuration does not allow.
+
+    The status asks for a retry if the configuration may be outdated.
+    """
+    if context.configuration.age > MAX_DENIAL_AGE_SECONDS:
+        return Refusal(
+            _UNAVAILABLE, f'{reason}, unconfirmed', UNCONFIRMED_RETRY_SECONDS
+        )
     return Refusal(status, reason)
 
 
--- /dev/null
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_crashes.py
@@ -0,0 +1,79 @@
+"""Records the requests under which replicas crashed, for the quarantine."""
+
+from ryelatch_core.fleet import Replica
+from ryelatch_core.quarantine import RequestPhase
+from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._errors import SendError, SendErrorKind
+from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
+
+UNRESPONSIVE = 'silent'
+"""Reason of a run that was given up as its replica sent nothing.
+
+The replica has not crashed.
+"""
+
+
+async def record_stream_crash(
+    context: RelayContext,
+    stream: LiveStream,
+    error: SendError,
+) -> bool:
+    """Record it if the first replica of a stream has crashed.
+
+    A stream that this node interrupted as its first replica is lost counts
+    too: another stream may have found the loss a moment before the connection
+    of this one broke.
+
+    :returns: whether the replica crashed just as the stream began there.
+    """
+    if not _connection_lost(error) or stream.reason not in {
+        '',
+        FIRST_REPLICA_LOST,
+    }:
+        return False
+    ran = stream.has_run_long(context.now())
+    if not await _has_crashed(context, stream.first_replica) or ran:
+        return False
+    manner = RequestPhase.BEGUN if stream.answered else RequestPhase.WAITING
+    context.quarantine.record_crash(
+        stream.request.digest,
+        stream.first_replica.name,
+        manner,
+        stream.exchange.identity,
+    )
+    return True
+
+
+async def record_non_model_crash(
+    context: RelayContext,
+    exchange: Exchange,
+    request: AdmittedRequest,
+    replica: Replica,
+    error: SendError,
+) -> None:
+    """Record it if a replica of a service without a model has crashed.
+
+    No part of its answer shows how far the request had come, so it counts as
+    begun.
+    """
+    if _connection_lost(error) and await _has_crashed(context, replica):
+        context.quarantine.record_crash(
+            request.digest, replica.name, RequestPhase.BEGUN, exchange.identity
+        )
+
+
+def _connection_lost(error: SendError) -> bool:
+    return error.kind is SendErrorKind.LOST and error.reason != UNRESPONSIVE
+
+
+async def _has_crashed(context: RelayContext, replica: Replica) -> bool:
+    """Check whether a replica has crashed, and suspect it if so.
+
+    Its entry expires seconds later. Until then each request sent to it costs
+    a retry, and requests without a retry left are refused.
+    """
+    if not await context.crash_checks.has_crashed(replica):
+        return False
+    context.replicas.suspect(replica, 'ended', full=False)
+    return True
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client, from its head to its final answer."""
+"""One request of a client, from its headers to the end of its answer."""
 
 import json
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 
 from ryelatch_core.events import EventKind, LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.routing import Repeat, Route
-from ryelatch_node.ports import Headers, RequestTerms
+from ryelatch_core.routing import RetryPolicy, Route
+from ryelatch_node.ports import Headers, RequestMetadata
 from ryelatch_node.relay._errors import ClientGone
 
 _HOP_HEADERS = frozenset(
@@ -28,43 +28,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
-    """What a client asks for.
+class AdmittedRequest:
+    """A request of a client that was admitted.
 
     :param target: path and query, byte for byte.
-    :param arrived: when its head came, in seconds.
-    :param ends: when it must have its final answer.
     :param account: name of its client account; empty if anonymous.
-    :param digest: the same for each request that asks for the same.
+    :param arrived: when its headers were received, in monotonic seconds.
+    :param deadline: deadline of its complete answer, in monotonic seconds.
+    :param version: version of the configuration under which it was admitted.
+    :param digest: hash of its content; equal for copies of the request.
     """
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    terms: RequestTerms
+    terms: RequestMetadata
     route: Route
     service: str
     account: str
     arrived: float
-    ends: float
+    deadline: float
     version: int
     digest: str
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
-        return self.route.repeat is not Repeat.NEVER
+        """Whether the request may run more than once."""
+        return self.route.retry_policy is not RetryPolicy.NEVER
 
 
 @dataclass(slots=True)
 class Exchange:
-    """The state of one request.
-
-    :param closing: whether the connection ends with this answer.
-    :param sends: upstreams that it was sent to.
-    :param ran: upstreams that may have run it.
-    :param pause: longest seconds between two pieces of the answer.
+    """State of a client's request and of the answer to it.
+
+    :param identity: of this attempt of the client.
+    :param send: the ASGI callable that sends messages to the client.
+    :param closing: whether the connection is closed after this answer.
+    :param started: whether the answer's headers were sent to the client.
+    :param finished: whether the answer was sent completely.
+    :param client_gone: whether the client has closed its connection.
+    :param sends: how often the request was sent to an upstream.
+    :param ran: runs that count against the attempts its route allows.
+    :param status: HTTP status of the answer; 0 before it started.
+    :param pause: longest time between two pieces of the answer, in seconds.
+    :param detail: more fields for the log line of the request's end.
     """
 
     identity: str
@@ -73,8 +81,8 @@
     clock: Clock
     closing: bool = False
     started: bool = False
-    ended: bool = False
-    left: bool = False
+    finished: bool = False
+    client_gone: bool = False
     sends: int = 0
     ran: int = 0
     status: int = 0
@@ -83,11 +91,11 @@
     detail: dict[str, Any] = field(default_factory=dict)
 
     def record(self, kind: EventKind, /, **detail: Any) -> None:
-        """Write a line about this request."""
+        """Write a log line about this request."""
         self.log.record(kind, request=self.identity, **detail)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin the answer."""
+        """Send the headers of the answer."""
         kept = [
             (name, content)
             for name, content in headers
@@ -102,10 +110,10 @@
             'status': status,
             'headers': kept,
         }
-        await self._pass(message)
+        await self._send_message(message)
 
     async def write(self, piece: bytes, *, more: bool = True) -> None:
-        """Pass on a part of the body."""
+        """Send a piece of the answer's body."""
         now = self.clock.monotonic()
         if piece and self._written is not None:
             self.pause = max(self.pause, now - self._written)
@@ -116,11 +124,11 @@
             'body': piece,
             'more_body': more,
         }
-        await self._pass(message)
-        self.ended = not more
+        await self._send_message(message)
+        self.finished = not more
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Give a whole answer."""
+        """Send a complete answer."""
         lengthless = [pair for pair in headers if pair[0] != b'content-length']
         length = (b'content-length', str(len(body)).encode())
         await self.start(status, [*lengthless, length])
@@ -134,9 +142,10 @@
         retry_after: float | None = None,
         **detail: Any,
     ) -> None:
-        """Give an answer of this node's own.
+        """Send an error answer of this node, and log it.
 
-        :param retry_after: seconds after which a place is expected.
+        :param retry_after: seconds after which the client should retry.
+        :param detail: more fields for the log line.
         """
         headers: Headers = [(b'content-type', b'application/json')]
         if retry_after is not None:
@@ -153,12 +162,12 @@
         )
         await self.answer(status, headers, body)
 
-    async def _pass(self, message: Message) -> None:
-        if self.left:
+    async def _send_message(self, message: Message) -> None:
+        if self.client_gone:
             raise ClientGone
         await self.send(message)
 
 
 def round_seconds(seconds: float) -> float:
-    """Shorten a time for a log line."""
+    """Round a time to milliseconds for a log line."""
     return round(seconds, _DIGITS)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes requests from clients and brings them to their end."""
+"""Receives requests of clients and relays them until they are complete."""
 
 import asyncio
 import contextlib
@@ -12,18 +12,22 @@
     ClientLimits,
 )
 from ryelatch_node.relay._admission import (
-    Arrival,
+    ReceivedRequest,
     Refusal,
-    StopState,
+    ShutdownState,
     admit,
 )
-from ryelatch_node.relay._beginning import FirstLists
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._errors import AnswerBroken, ClientGone
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
+from ryelatch_node.relay._exchange import (
+    AdmittedRequest,
+    Exchange,
+    round_seconds,
+)
+from ryelatch_node.relay._initial_sync import InitialSync
 from ryelatch_node.relay._metrics import RelayMetrics
 from ryelatch_node.relay._model import relay_model
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._plain import relay_plain
+from ryelatch_node.relay._non_model import relay_non_model
 from ryelatch_node.relay._watch import StreamWatch
 
 _REQUEST_TIMEOUT = 408
@@ -33,37 +37,39 @@
 
 
 class _TooLarge(Exception):
-    """A body is larger than the configuration allows."""
+    """A request body is larger than the configuration allows."""
 
 
 class Ingress:
     """Serves the requests of clients.
 
-    :param stops: how far the stop of this node has come.
+    :ivar stop_state: the state of the planned stop of this node.
+    :ivar open_requests: requests in progress.
     """
 
     def __init__(
         self,
-        parts: Parts,
+        context: RelayContext,
         watch: StreamWatch,
         metrics: RelayMetrics,
     ) -> None:
-        self.stops = StopState()
+        self.stop_state = ShutdownState()
         self.open_requests = 0
-        self._parts = parts
+        self._context = context
         self._watch = watch
         self._metrics = metrics
-        self._first_lists = FirstLists(parts)
+        self._first_lists = InitialSync(context)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one request, and log an exception that it raises."""
         self.open_requests += 1
         try:
             await self._serve(scope, receive, send)
         except Exception:
-            # The server answers 500, or cuts what has begun. Without this
-            # line nobody would learn why: the library's log is off.
-            self._parts.log.record(
+            # The HTTP server responds with 500, or closes the connection if
+            # the response has started. Its own log is off, so the cause
+            # would be lost without this line.
+            self._context.log.record(
                 catalogue.EXCHANGE_CRASHED, trace=traceback.format_exc()
             )
             raise
@@ -71,11 +77,15 @@
             self.open_requests -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        parts = self._parts
-        arrived = parts.clock.monotonic()
-        terms = parts.wire.read_request(scope['headers'])
+        context = self._context
+        arrived = context.clock.monotonic()
+        terms = context.wire.read_request(scope['headers'])
         exchange = Exchange(
-            terms.identity, send, parts.log, parts.clock, self.stops.closing
+            terms.identity,
+            send,
+            context.log,
+            context.clock,
+            self.stop_state.closing,
         )
         try:
             body = await self._read_body(receive)
@@ -85,21 +95,22 @@
             await exchange.refuse(_TOO_LARGE, 'the body is too large')
             return
         except TimeoutError:
-            # Nothing was sent on, so the promise of a 408 holds.
+            # Nothing was sent to an upstream, so a client may safely repeat
+            # the request, as a 408 permits.
             exchange.closing = True
             await exchange.refuse(_REQUEST_TIMEOUT, 'the body stands still')
             return
         await self._first_lists.wait()
-        arrival = Arrival(scope, terms, body, arrived)
-        inquiry = admit(parts, self.stops, arrival)
-        if isinstance(inquiry, Refusal):
-            await self._refuse(exchange, inquiry)
+        received = ReceivedRequest(scope, terms, body, arrived)
+        request = admit(context, self.stop_state, received)
+        if isinstance(request, Refusal):
+            await self._refuse(exchange, request)
             return
-        await self._relay(exchange, inquiry, receive)
-        self._log_end(exchange, inquiry)
+        await self._relay(exchange, request, receive)
+        self._log_completion(exchange, request)
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
-        configuration = self._parts.configuration
+        configuration = self._context.configuration
         await exchange.refuse(
             refusal.status,
             refusal.reason,
@@ -111,57 +122,63 @@
         )
 
     async def _read_body(self, receive: Receive) -> bytes:
-        table = self._parts.configuration.table
+        table = self._context.configuration.table
         limits = table.configuration.limits if table else ClientLimits()
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             async with asyncio.timeout(limits.idle_seconds):
                 message = await receive()
             if message['type'] != 'http.request':
                 raise ClientGone
-            pieces.append(message['body'])
+            chunks.append(message['body'])
             size += len(message['body'])
             if size > limits.body_bytes:
                 raise _TooLarge
             if not message['more_body']:
-                return b''.join(pieces)
+                return b''.join(chunks)
 
     async def _relay(
         self,
         exchange: Exchange,
-        inquiry: Inquiry,
+        request: AdmittedRequest,
         receive: Receive,
     ) -> None:
-        """Relay a request while its client is there."""
-        work = asyncio.create_task(self._finish(exchange, inquiry))
-        gone = asyncio.create_task(_wait_gone(receive))
-        await asyncio.wait((work, gone), return_when=asyncio.FIRST_COMPLETED)
-        if not work.done() and not exchange.ended:
-            # Work that nobody waits for any more keeps places from others.
-            exchange.left = True
-            work.cancel()
-        await cancel_task(gone)
+        """Relay a request until it is complete or its client disconnects."""
+        relaying = asyncio.create_task(
+            self._relay_until_deadline(exchange, request)
+        )
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
+        await asyncio.wait(
+            (relaying, disconnect), return_when=asyncio.FIRST_COMPLETED
+        )
+        if not relaying.done() and not exchange.finished:
+            # A request without a client would take capacity from others.
+            exchange.client_gone = True
+            relaying.cancel()
+        await cancel_task(disconnect)
         with contextlib.suppress(asyncio.CancelledError, ClientGone):
-            await work
+            await relaying
 
-    async def _finish(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        """Relay a request up to the end of its time."""
-        self._parts.budget.earn()
+    async def _relay_until_deadline(
+        self, exchange: Exchange, request: AdmittedRequest
+    ) -> None:
+        """Relay a request, and stop it at its deadline."""
+        self._context.budget.earn()
         loop = asyncio.get_running_loop()
-        left = inquiry.ends - self._parts.clock.monotonic()
+        remaining = request.deadline - self._context.clock.monotonic()
         try:
-            async with asyncio.timeout_at(loop.time() + left):
-                await self._dispatch(exchange, inquiry)
+            async with asyncio.timeout_at(loop.time() + remaining):
+                await self._dispatch(exchange, request)
         except TimeoutError:
             if not exchange.started:
-                await self._tell_timeout(exchange)
+                await self._refuse_late(exchange)
         except AnswerBroken:
-            # Returning without the end of the body cuts the connection, so
-            # that the client sees that the answer isn't whole.
+            # Returning before the body is complete closes the connection, so
+            # the client sees that the answer is incomplete.
             exchange.detail['broken'] = True
 
-    async def _tell_timeout(self, exchange: Exchange) -> None:
+    async def _refuse_late(self, exchange: Exchange) -> None:
         if exchange.sends:
             await exchange.refuse(_GATEWAY_TIMEOUT, 'the time is over')
         else:
@@ -169,37 +186,41 @@
                 _UNAVAILABLE, 'the time is over', retry_after=0
             )
 
-    async def _dispatch(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        table = self._parts.configuration.table
-        terms = table and table.configuration.services.get(inquiry.service)
+    async def _dispatch(
+        self, exchange: Exchange, request: AdmittedRequest
+    ) -> None:
+        table = self._context.configuration.table
+        terms = table and table.configuration.services.get(request.service)
         if terms and terms.model is not None:
-            await relay_model(self._parts, self._watch, exchange, inquiry)
+            await relay_model(self._context, self._watch, exchange, request)
         else:
-            await relay_plain(self._parts, exchange, inquiry)
+            await relay_non_model(self._context, exchange, request)
 
-    def _log_end(self, exchange: Exchange, inquiry: Inquiry) -> None:
-        seconds = self._parts.clock.monotonic() - inquiry.arrived
-        if exchange.left:
+    def _log_completion(
+        self, exchange: Exchange, request: AdmittedRequest
+    ) -> None:
+        seconds = self._context.clock.monotonic() - request.arrived
+        if exchange.client_gone:
             kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
-        elif exchange.ended:
+        elif exchange.finished:
             kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
             kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
-        self._metrics.note(inquiry.route.streaming, outcome, seconds)
+        self._metrics.record_request(request.route.streaming, outcome, seconds)
         exchange.record(
             kind,
-            route=inquiry.route.name,
-            account=inquiry.account,
+            route=request.route.name,
+            account=request.account,
             status=exchange.status,
             seconds=round_seconds(seconds),
             sends=exchange.sends,
             pause=round_seconds(exchange.pause),
-            version=inquiry.version,
+            version=request.version,
             **exchange.detail,
         )
 
 
-async def _wait_gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     message = await receive()
     while message['type'] != 'http.disconnect':
         message = await receive()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -1,50 +1,54 @@
-"""Requests to a model that is split over replicas."""
+"""Relays requests to a model whose layers are split over replicas."""
 
 import asyncio
 import enum
 
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Stage
-from ryelatch_core.quarantine import MOST_ENDS
-from ryelatch_core.streams import EventCutter, StreamError
+from ryelatch_core.quarantine import CRASH_THRESHOLD
+from ryelatch_core.streams import EventSplitter, StreamError
 from ryelatch_node.ports import Dispatch
 from ryelatch_node.relay._choice import (
     choose_request_path,
-    list_heads,
+    list_first_replicas,
     misses_layers,
 )
-from ryelatch_node.relay._ends import note_stream_end
+from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._crashes import record_stream_crash
 from ryelatch_node.relay._errors import (
     AnswerBroken,
     SendError,
     SendErrorKind,
 )
-from ryelatch_node.relay._exchange import Exchange, Inquiry, round_seconds
-from ryelatch_node.relay._parts import Parts
-from ryelatch_node.relay._permits import find_return, take_permit
+from ryelatch_node.relay._exchange import (
+    AdmittedRequest,
+    Exchange,
+    round_seconds,
+)
+from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
     Progress,
-    note_failure,
-    note_outcome,
-    note_progress,
-    note_refusal,
+    handle_refusal,
+    record_failure,
+    record_outcome,
+    record_progress,
 )
 from ryelatch_node.relay._stream import LiveStream
 from ryelatch_node.relay._upstream import Answer
 from ryelatch_node.relay._watch import StreamWatch
 
-MOST_SENDS = 5
-"""Tries of one request, whatever became of them.
+MAX_SENDS = 5
+"""Maximum attempts for one request, whatever their results.
 
-Each costs up to a second, and the client's patience is two without an event;
-more are of use only where replicas refuse at once.
+An attempt takes up to one second, and clients give up after two seconds
+without an event, so more attempts help only where replicas refuse at once.
 """
 
 REPAIR_SECONDS = 2.5
-"""When a refused client may come back where layers are missing.
+"""Retry-After for requests that are refused because layers are missing.
 
-A loss shows after 0.5 s, and eight layers load in 1.4 s.
+The loss of a replica is detected after 0.5 s, and eight layers load in 1.4 s.
 """
 
 _SERVER_ERROR = 500
@@ -53,127 +57,137 @@
 _OK = 200
 
 
-class _Next(enum.Enum):
-    """What follows after a try."""
+class _AttemptResult(enum.Enum):
+    """Whether an attempt completed the request or another one may follow."""
 
     DONE = 'done'
     AGAIN = 'again'
 
 
 async def relay_model(
-    parts: Parts,
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
-    """Send a request on a path, and on others until its answer is whole.
+    """Send a request along paths until one returns the complete answer.
 
-    :raises AnswerBroken: if it ends in the middle for good.
+    :raises AnswerBroken: if the answer has started and can't be completed.
     """
-    progress = Progress(EventCutter(inquiry.terms.last_event))
-    while _may_send(parts, exchange, inquiry, progress):
-        path = await _find_path(parts, exchange, inquiry, progress)
+    progress = Progress(EventSplitter(request.terms.last_event))
+    while _may_send(context, exchange, request, progress):
+        path = await _find_path(context, exchange, request, progress)
         if not path:
             break
-        step = await _try_path(parts, watch, exchange, inquiry, path, progress)
-        if step is _Next.DONE:
+        result = await _attempt_path(
+            context, watch, exchange, request, path, progress
+        )
+        if result is _AttemptResult.DONE:
             return
-    await _give_up(parts, exchange, inquiry, progress)
+    await _give_up(context, exchange, request, progress)
 
 
 async def _find_path(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
-    """Choose a path whose first replica takes one more request."""
+    """Choose a path, and take a permit for its first replica if it is limited.
+
+    Without a permit another path is chosen.
+
+    :returns: the stages of the path; empty if there is no path.
+    """
     while True:
-        path = choose_request_path(parts, exchange, inquiry, progress)
-        if not path or await take_permit(parts, exchange, path[0].replica):
+        path = choose_request_path(context, exchange, request, progress)
+        if not path or await acquire_permit(context, exchange, path[0].replica):
             return path
 
 
 def _may_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> bool:
     if not exchange.sends:
         return True
-    if exchange.sends >= MOST_SENDS:
+    if exchange.sends >= MAX_SENDS:
         return False
-    if exchange.ran >= inquiry.route.max_attempts:
+    if exchange.ran >= request.route.max_attempts:
         return False
-    if progress.lost and not inquiry.repeatable:
+    if progress.may_have_run and not request.repeatable:
         return False
-    if progress.ends >= MOST_ENDS:
+    if progress.crashes >= CRASH_THRESHOLD:
         return False
-    if parts.quarantine.find_refused(inquiry.digest):
+    if context.quarantine.find_refused(request.digest):
         return False
-    return parts.budget.spend()
+    return context.budget.spend()
 
 
-async def _try_path(
-    parts: Parts,
+async def _attempt_path(
+    context: RelayContext,
     watch: StreamWatch,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
-) -> _Next:
-    tokens = inquiry.terms.prompt + inquiry.terms.answer // 2
+) -> _AttemptResult:
+    tokens = request.terms.prompt + request.terms.answer // 2
     exchange.sends += 1
-    _log_send(parts, exchange, inquiry, path, progress)
+    _log_send(context, exchange, request, path, progress)
     scope = asyncio.timeout(None)
-    now = parts.clock.monotonic()
-    stream = LiveStream(exchange, inquiry, path, now, now, tokens, scope)
-    parts.load.add(path, tokens, now)
-    parts.windows.add(stream.head.name)
-    parts.accounts.add(inquiry.account)
-    parts.returns.note_start(now)
+    now = context.clock.monotonic()
+    stream = LiveStream(exchange, request, path, now, now, tokens, scope)
+    context.load.add(path, tokens, now)
+    context.windows.add(stream.first_replica.name)
+    context.accounts.add(request.account)
+    context.returns.record_start(now)
     watch.streams.add(stream)
     try:
         async with scope:
-            return await _run(parts, watch.prober, stream, progress)
+            return await _run(context, watch.prober, stream, progress)
     except TimeoutError:
         interrupted = SendError(SendErrorKind.LOST, stream.reason)
-        await _note_lost(parts, stream, progress, interrupted)
+        await _record_loss(context, stream, progress, interrupted)
     except SendError as error:
-        await _note_lost(parts, stream, progress, error)
+        await _record_loss(context, stream, progress, error)
     except StreamError as error:
-        note_failure(parts, stream, progress, SendErrorKind.SPOILED, str(error))
+        record_failure(
+            context, stream, progress, SendErrorKind.INVALID, str(error)
+        )
     finally:
-        stream.over = True
+        stream.finished = True
         watch.streams.discard(stream)
-        parts.windows.remove(stream.head.name)
-        parts.accounts.remove(inquiry.account)
-        parts.load.remove(stream.path, tokens, parts.clock.monotonic())
-    return _Next.AGAIN
+        context.windows.remove(stream.first_replica.name)
+        context.accounts.remove(request.account)
+        context.load.remove(stream.path, tokens, context.clock.monotonic())
+    return _AttemptResult.AGAIN
 
 
-async def _note_lost(
-    parts: Parts,
+async def _record_loss(
+    context: RelayContext,
     stream: LiveStream,
     progress: Progress,
     error: SendError,
 ) -> None:
-    """Note that a try ended without an answer, and whether its replica did.
+    """Record an attempt that was lost, and whether its first replica crashed.
 
-    A run that had just begun as its replica ended counts among the attempts:
-    it may be why, and each attempt takes another replica along.
+    A run that had just begun when the replica crashed counts as an attempt:
+    it may have caused the crash, and then each attempt crashes one more
+    replica.
     """
-    note_failure(parts, stream, progress, error.kind, error.reason)
-    if await note_stream_end(parts, stream, error):
-        progress.ends += 1
+    record_failure(context, stream, progress, error.kind, error.reason)
+    if await record_stream_crash(context, stream, error):
+        progress.crashes += 1
         stream.exchange.ran += stream.answered
 
 
 def _log_send(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> None:
@@ -186,153 +200,163 @@
             [stage.replica.name, stage.layers.first, stage.layers.end]
             for stage in path
         ],
-        service=inquiry.service,
-        digest=inquiry.digest,
+        service=request.service,
+        digest=request.digest,
         attempt=exchange.sends,
-        left=round_seconds(inquiry.ends - parts.clock.monotonic()),
-        version=inquiry.version,
-        last_event=progress.cutter.last,
-        avoided=len(parts.replicas.list_suspects()),
-        list_age=round_seconds(parts.replicas.known.age),
+        left=round_seconds(request.deadline - context.clock.monotonic()),
+        version=request.version,
+        last_event=progress.splitter.last,
+        avoided=len(context.replicas.list_suspects()),
+        list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(
-            parts.replicas.find_missing(one.replica.name for one in path)
+            context.replicas.find_missing(
+                path_stage.replica.name for path_stage in path
+            )
         ),
     )
 
 
 async def _run(
-    parts: Parts,
+    context: RelayContext,
     prober: Prober,
     stream: LiveStream,
     progress: Progress,
-) -> _Next:
-    inquiry = stream.inquiry
+) -> _AttemptResult:
+    request = stream.request
     dispatch = Dispatch(
-        stream.head.entry,
-        inquiry.ends - parts.clock.monotonic(),
-        inquiry.account,
+        stream.first_replica.entry,
+        request.deadline - context.clock.monotonic(),
+        request.account,
         stream.path,
-        progress.cutter.last,
+        progress.splitter.last,
     )
-    async with parts.upstreams.send(
-        stream.head,
-        inquiry.method,
-        inquiry.target,
-        parts.wire.write_request(inquiry.headers, dispatch),
-        inquiry.body,
-        identity=inquiry.terms.identity,
-        repeatable=inquiry.repeatable,
+    async with context.upstreams.send(
+        stream.first_replica,
+        request.method,
+        request.target,
+        context.wire.write_request(request.headers, dispatch),
+        request.body,
+        identity=request.terms.identity,
+        repeatable=request.repeatable,
     ) as answer:
         stream.answered = True
         if answer.terms.not_run:
-            note_refusal(parts, prober, stream, answer)
-            return _Next.AGAIN
+            handle_refusal(context, prober, stream, answer)
+            return _AttemptResult.AGAIN
         if not answer.terms.signed:
-            raise SendError(SendErrorKind.SPOILED, 'unsigned answer')
+            raise SendError(SendErrorKind.INVALID, 'unsigned answer')
         if answer.status != _OK:
-            return await _take_failure(parts, stream, answer, progress)
-        return await _pass_events(parts, stream, answer, progress)
+            return await _handle_failure(context, stream, answer, progress)
+        return await _forward_events(context, stream, answer, progress)
 
 
-async def _take_failure(
-    parts: Parts,
+async def _handle_failure(
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
-) -> _Next:
-    """Keep a replica's own failure, or pass it on where nothing follows."""
+) -> _AttemptResult:
+    """Keep an error response of a replica, or pass it on to the client."""
     body = await answer.read()
-    parts.quarantine.note_run(stream.inquiry.digest)
+    context.quarantine.record_run(stream.request.digest)
     stream.exchange.ran += 1
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
-        replica=stream.head.name,
+        replica=stream.first_replica.name,
         status=answer.status,
         outcome='failed',
     )
     failed = answer.status >= _SERVER_ERROR
-    note_outcome(parts, stream, failed=failed)
-    if failed and stream.inquiry.repeatable:
-        # Failing at once it has room and looks fast; the next try would go
-        # there again.
-        progress.left.add(stream.head.name)
-        progress.held = (answer, body)
-        return _Next.AGAIN
+    record_outcome(context, stream, failed=failed)
+    if failed and stream.request.repeatable:
+        # A replica that fails at once looks fast and has free capacity, so
+        # the next attempt would choose it again.
+        progress.excluded.add(stream.first_replica.name)
+        progress.failure_answer = (answer, body)
+        return _AttemptResult.AGAIN
     if stream.exchange.started:
         raise AnswerBroken
     await stream.exchange.answer(answer.status, answer.headers, body)
-    return _Next.DONE
+    return _AttemptResult.DONE
 
 
-async def _pass_events(
-    parts: Parts,
+async def _forward_events(
+    context: RelayContext,
     stream: LiveStream,
     answer: Answer,
     progress: Progress,
-) -> _Next:
-    cutter = progress.cutter
-    cutter.restart()
+) -> _AttemptResult:
+    splitter = progress.splitter
+    splitter.discard_partial()
     exchange = stream.exchange
-    async for piece in answer.iterate():
-        events = cutter.cut(piece)
+    async for chunk in answer.iterate():
+        events = splitter.feed(chunk)
         if not events:
             continue
-        note_progress(parts, stream)
+        record_progress(context, stream)
         if not exchange.started:
             await exchange.start(answer.status, _strip_length(answer))
         await exchange.write(events)
-    if cutter.torn:
+    if splitter.has_partial:
         raise SendError(SendErrorKind.LOST, 'ended in the middle of an event')
     if not exchange.started:
         await exchange.start(answer.status, _strip_length(answer))
     await exchange.write(b'', more=False)
-    parts.replicas.trust(stream.head)
-    parts.quarantine.note_run(stream.inquiry.digest)
-    note_outcome(parts, stream, failed=False)
-    return _Next.DONE
+    context.replicas.clear_suspicion(stream.first_replica)
+    context.quarantine.record_run(stream.request.digest)
+    record_outcome(context, stream, failed=False)
+    return _AttemptResult.DONE
 
 
 def _strip_length(answer: Answer) -> list[tuple[bytes, bytes]]:
-    """Leave out the length: a resumed stream may have another."""
+    """Drop the content length: a resumed stream may have another length."""
     return [pair for pair in answer.headers if pair[0] != b'content-length']
 
 
 async def _give_up(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
     progress: Progress,
 ) -> None:
     if exchange.started:
         raise AnswerBroken
-    if progress.held:
-        answer, body = progress.held
+    if progress.failure_answer:
+        answer, body = progress.failure_answer
         await exchange.answer(answer.status, answer.headers, body)
-    elif progress.lost:
+    elif progress.may_have_run:
         await exchange.refuse(_BAD_GATEWAY, 'the answer was lost')
     else:
-        await _refuse(parts, exchange, inquiry)
+        await _refuse(context, exchange, request)
 
 
 async def _refuse(
-    parts: Parts,
+    context: RelayContext,
     exchange: Exchange,
-    inquiry: Inquiry,
+    request: AdmittedRequest,
 ) -> None:
-    """Tell a client that its request did not run, and when to come back."""
-    missing = misses_layers(parts, inquiry)
-    wait = REPAIR_SECONDS if missing else _find_turn(parts, inquiry)
+    """Refuse a request that did not run, and say when to retry."""
+    missing = misses_layers(context, request)
+    wait = (
+        REPAIR_SECONDS if missing else _estimate_retry_after(context, request)
+    )
     await exchange.refuse(
         _UNAVAILABLE,
         'layers are missing' if missing else 'all paths are full',
         retry_after=wait,
-        open=len(parts.windows.requests),
-        full=len(parts.windows.list_closed()),
+        open=len(context.windows.requests),
+        full=len(context.windows.list_closed()),
     )
 
 
-def _find_turn(parts: Parts, inquiry: Inquiry) -> float:
-    """Tell a refused client when a place for it is expected."""
-    now = parts.clock.monotonic()
-    turn = parts.returns.give_turn(now, inquiry.ends - now, parts.draw())
-    return max(turn, find_return(parts, list_heads(parts, inquiry)))
+def _estimate_retry_after(
+    context: RelayContext, request: AdmittedRequest
+) -> float:
+    """Estimate after how many seconds a refused client should retry."""
+    now = context.clock.monotonic()
+    delay = context.returns.assign_delay(
+        now, request.deadline - now, context.draw()
+    )
+    return max(
+        delay, find_retry_after(context, list_first_replicas(context, request))
+    )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -1,62 +1,72 @@
-"""What the tries of a request have brought, and what they tell of replicas."""
+"""Records the attempts of a request and the state of replicas they reveal."""
 
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import catalogue
-from ryelatch_core.fleet import LATE_SHARE, Replica
-from ryelatch_core.streams import EventCutter
+from ryelatch_core.fleet import LATE_FRACTION, Replica
+from ryelatch_core.streams import EventSplitter
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._errors import SendErrorKind
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import Parts
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._stream import HEAD_LOST, LiveStream
+from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.relay._upstream import Answer
 
-_FULL = 503
-_STALL_SHARE = 0.75
-"""Share of the upstreams' patience from which a refusal tells of a loss."""
+_UNAVAILABLE = 503
+_STALL_FRACTION = 0.75
+"""Fraction of the upstreams' stall timeout that shows a lost replica.
+
+A refusal that took longer comes from a path that waited for that replica.
+"""
 
 
 @dataclass
 class Progress:
-    """What the tries of a request have brought so far.
-
-    :param lost: whether one of them may have run without an answer.
-    :param held: a replica's own failure, passed on if nothing better comes.
-    :param left: first replicas whose runs this node cut off.
-    :param ends: first replicas that ended just as it began at them.
+    """What the attempts of one request have brought so far.
+
+    :param splitter: cuts the answer into events, over all attempts.
+    :param excluded: first replicas whose runs failed or were interrupted, which
+        other attempts avoid where they can.
+    :param may_have_run: whether an attempt may have run without an answer.
+    :param crashes: first replicas that crashed when a run had just begun.
+    :param failure_answer: the last error response of a replica and its body;
+        it is passed on if no other attempt succeeds.
     """
 
-    cutter: EventCutter
-    left: set[str] = field(default_factory=set)
-    lost: bool = False
-    ends: int = 0
-    held: tuple[Answer, bytes] | None = None
+    splitter: EventSplitter
+    excluded: set[str] = field(default_factory=set)
+    may_have_run: bool = False
+    crashes: int = 0
+    failure_answer: tuple[Answer, bytes] | None = None
 
 
-def note_refusal(
-    parts: Parts,
+def handle_refusal(
+    context: RelayContext,
     prober: Prober,
     stream: LiveStream,
     answer: Answer,
 ) -> None:
-    """Keep away from the replica that a refusal names.
+    """Suspect the replica that a refusal names as its cause.
 
-    A refusal that took long comes from a path that waited for a lost
-    replica; one that came at once, from one without room.
+    A refusal that took long comes from a path that waited for a lost replica;
+    an immediate one comes from a path with a full replica.
     """
-    waited = parts.clock.monotonic() - stream.progress
-    stalled = waited > parts.startup.stall_seconds * _STALL_SHARE
-    fault = _find_fault(parts, stream, answer.terms.fault)
+    waited = context.clock.monotonic() - stream.progress
+    stalled = waited > context.startup.stall_seconds * _STALL_FRACTION
+    fault = _find_fault(context, stream, answer.terms.fault)
     reason = f'answered {answer.status}'
-    if answer.status == _FULL and fault.name == stream.head.name:
-        parts.windows.note_full(fault.name, parts.clock.monotonic())
-    if answer.terms.entry in {'', stream.head.entry}:
-        parts.replicas.suspect(fault, reason, full=not stalled)
+    if (
+        answer.status == _UNAVAILABLE
+        and fault.name == stream.first_replica.name
+    ):
+        context.windows.record_refusal(fault.name, context.clock.monotonic())
+    if answer.terms.entry in {'', stream.first_replica.entry}:
+        context.replicas.suspect(fault, reason, full=not stalled)
         prober.check(fault)
     else:
-        # Another replica has the address now; asking it tells nothing.
-        parts.replicas.end(stream.head)
+        # Another replica has this address now, so the first replica of the
+        # path has crashed, and a report from there would not be about it.
+        context.replicas.end(stream.first_replica)
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
         replica=fault.name,
@@ -66,91 +76,96 @@
     )
 
 
-def _find_fault(parts: Parts, stream: LiveStream, address: str) -> Replica:
-    named = (
+def _find_fault(
+    context: RelayContext, stream: LiveStream, address: str
+) -> Replica:
+    matches = (
         stage.replica
         for stage in stream.path
         if stage.replica.address == address
     )
-    return next(named, stream.head)
+    return next(matches, stream.first_replica)
 
 
-def note_outcome(parts: Parts, stream: LiveStream, *, failed: bool) -> None:
-    """Note whether a first replica failed a request that it ran."""
-    parts.failures.note(
-        stream.head.name,
-        stream.inquiry.route.name,
-        parts.clock.monotonic(),
+def record_outcome(
+    context: RelayContext, stream: LiveStream, *, failed: bool
+) -> None:
+    """Record whether a first replica failed a request that it ran."""
+    context.failures.record(
+        stream.first_replica.name,
+        stream.request.route.name,
+        context.clock.monotonic(),
         failed=failed,
     )
 
 
-def note_progress(parts: Parts, stream: LiveStream) -> None:
-    """Note that an event has come."""
-    stream.progress = parts.clock.monotonic()
+def record_progress(context: RelayContext, stream: LiveStream) -> None:
+    """Record that one or more events of a stream have arrived."""
+    stream.progress = context.clock.monotonic()
     stream.delivered += 1
-    stream.told = False
-    if not stream.cleared and stream.ran(stream.progress):
+    stream.stall_recorded = False
+    if not stream.cleared and stream.has_run_long(stream.progress):
         stream.cleared = True
-        parts.quarantine.note_run(stream.inquiry.digest)
+        context.quarantine.record_run(stream.request.digest)
     if not stream.begun:
         stream.begun = True
         stream.first_event = stream.progress
         stream.exchange.ran += 1
-        taken = stream.progress - stream.sent
-        parts.load.note_first(stream.path, taken, stream.progress)
-        if taken > stream.inquiry.route.objective * LATE_SHARE:
-            parts.paces.check(stream.path)
-        if not stream.hindered:
-            # A first event that waited for a lost replica tells nothing of
-            # how full the first one is.
-            parts.windows.note_first(
-                stream.head.name,
-                taken,
-                stream.inquiry.route.objective,
+        delay = stream.progress - stream.sent
+        context.load.record_first_event(stream.path, delay, stream.progress)
+        if delay > stream.request.route.objective * LATE_FRACTION:
+            context.slow_replicas.check(stream.path)
+        if not stream.delayed_by_loss:
+            # A first event that was delayed by a lost replica doesn't show
+            # how full the first replica is.
+            context.windows.record_first_event(
+                stream.first_replica.name,
+                delay,
+                stream.request.route.objective,
                 stream.progress,
             )
         stream.exchange.detail.setdefault(
-            'first', round_seconds(stream.progress - stream.inquiry.arrived)
+            'first', round_seconds(stream.progress - stream.request.arrived)
         )
 
 
-def note_failure(
-    parts: Parts,
+def record_failure(
+    context: RelayContext,
     stream: LiveStream,
     progress: Progress,
     kind: SendErrorKind,
     reason: str,
 ) -> None:
-    """Note that a try ended without an answer."""
+    """Record that an attempt finished without a complete answer."""
     if kind is not SendErrorKind.UNSENT:
-        progress.lost = True
+        progress.may_have_run = True
     if stream.reason:
-        progress.left.add(stream.head.name)
+        progress.excluded.add(stream.first_replica.name)
     if kind is SendErrorKind.LOST:
-        stream.exchange.ran += _count_end(stream)
+        stream.exchange.ran += _count_run(stream)
     stream.exchange.record(
         catalogue.EXCHANGE_FAILED,
-        replica=stream.head.name,
+        replica=stream.first_replica.name,
         reason=reason,
         outcome=kind.value,
         answered=stream.answered,
         events=stream.delivered,
-        last_event=progress.cutter.last,
+        last_event=progress.splitter.last,
     )
-    if kind is not SendErrorKind.SPOILED and reason != 'silent':
-        parts.replicas.suspect(
-            stream.head, reason, full=kind is not SendErrorKind.UNSENT
+    if kind is not SendErrorKind.INVALID and reason != 'silent':
+        context.replicas.suspect(
+            stream.first_replica, reason, full=kind is not SendErrorKind.UNSENT
         )
 
 
-def _count_end(stream: LiveStream) -> int:
-    """Tell what the end of a try adds to the runs that the route allows.
+def _count_run(stream: LiveStream) -> int:
+    """Return what a lost attempt adds to the count of the request's runs.
 
-    A run that ended with its first replica doesn't count. One that this node
-    cut off does, and may have begun though nothing of it came: seven streams
-    ran on three first replicas where two were allowed.
+    A run that was lost with its first replica doesn't count, and is taken off
+    again if it had begun. A run that this node interrupted counts even if no
+    event arrived, as it may have begun: without that, seven streams ran on
+    three first replicas where two were allowed.
     """
-    if stream.reason in {'', HEAD_LOST}:
+    if stream.reason in {'', FIRST_REPLICA_LOST}:
         return -1 if stream.begun else 0
     return 0 if stream.begun else 1
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -1,138 +1,144 @@
-"""The relay as services of a node."""
+"""Registers the services of the relay with the application of a node."""
 
 import asyncio
 
-from ryelatch_core.events import CostBook, LineLog, catalogue, keep_running
-from ryelatch_core.fleet import LoadBook, Replica
+from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
+from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
 from ryelatch_node.ports import (
-    AnswerTerms,
-    NodesCounted,
-    Orders,
+    AnswerMetadata,
+    HeaderCodec,
+    NodeCountChanged,
     RelayStartup,
+    ReplicaCommands,
     SettingsChanged,
-    Wire,
 )
 from ryelatch_node.quarantine import Quarantine
-from ryelatch_node.relay._budget import RetryTerms, open_budget
+from ryelatch_node.relay._budget import RetryAllowance, make_budget
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import Parts
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._server import RelayServer
 from ryelatch_node.relay._upstream import AnswerHook, Upstreams
 from ryelatch_node.relay._watch import StreamWatch
 from ryelatch_node.throttle import Throttle
+from ryelatch_node.views import ConfigurationView, ReplicaView
 
-USUAL_NODES = 8
-"""Nodes among which work is taken to be shared until they are counted.
+ASSUMED_NODES = 8
+"""Number of nodes that is assumed to share the load until they are counted.
 
-Each user has 7 or 8 entry VMs. Where there are more, the load of the others
-is taken for too small for two seconds.
+Each deployment has 7 or 8 entry VMs. Where there are more, the load of the
+other nodes is underestimated for two seconds.
 """
 
 HOUSEKEEPING_SECONDS = 0.5
 
 COSTS_SECONDS = 10.0
-"""How often a node writes what it has spent; a line of about 1 kB."""
+"""Interval at which a node logs its resource usage, in a line of about 1 kB."""
 
 
 class Housekeeper:
-    """Does what has to be done now and then."""
+    """Runs the periodic maintenance of a node's state."""
 
-    def __init__(self, parts: Parts, server: RelayServer) -> None:
-        self._parts = parts
+    def __init__(self, context: RelayContext, server: RelayServer) -> None:
+        self._context = context
         self._server = server
         self._task: asyncio.Task[None] | None = None
-        self._told = 0.0
+        self._costs_recorded = 0.0
 
     async def start(self) -> None:
-        """Begin."""
+        """Start the periodic maintenance."""
         self._task = asyncio.create_task(
-            keep_running('housekeeper', self._run, self._parts.log)
+            keep_running('housekeeper', self._run, self._context.log)
         )
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the maintenance and log the resource usage a last time."""
         await cancel_task(self._task)
-        self._tell_costs()
+        self._record_costs()
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self._parts.replicas.drop_lapsed()
-            self._parts.budget.refill(HOUSEKEEPING_SECONDS)
-            self._forget_gone()
-            self._parts.quarantine.judge()
-            self._parts.configuration.allows_keys()
-            self._parts.replicas.known.check()
+            self._context.replicas.drop_expired()
+            self._context.budget.refill(HOUSEKEEPING_SECONDS)
+            self._forget_removed()
+            self._context.quarantine.evaluate()
+            self._context.configuration.allows_keys()
+            self._context.replicas.freshness.check()
             self._server.apply_limits()
-            self._parts.log.report_dropped()
-            if self._parts.clock.monotonic() - self._told > COSTS_SECONDS:
-                self._tell_costs()
-            self._parts.log.flush()
-
-    def _forget_gone(self) -> None:
-        """Forget what was learned of replicas that are gone."""
-        parts = self._parts
-        names = parts.replicas.replicas
-        for book in (
-            parts.load,
-            parts.windows,
-            parts.paces.book,
-            parts.failures,
-            parts.durations,
-            parts.throttle,
+            self._context.log.report_dropped()
+            if (
+                self._context.clock.monotonic() - self._costs_recorded
+                > COSTS_SECONDS
+            ):
+                self._record_costs()
+            self._context.log.flush()
+
+    def _forget_removed(self) -> None:
+        """Drop what was observed of replicas that are no longer listed."""
+        context = self._context
+        names = context.replicas.replicas
+        for tracker in (
+            context.load,
+            context.windows,
+            context.slow_replicas.tracker,
+            context.failures,
+            context.durations,
+            context.throttle,
         ):
-            book.keep(names)
+            tracker.keep(names)
 
-    def _tell_costs(self) -> None:
-        self._told = self._parts.clock.monotonic()
-        self._parts.log.record(
+    def _record_costs(self) -> None:
+        self._costs_recorded = self._context.clock.monotonic()
+        self._context.log.record(
             catalogue.NODE_COSTS,
-            life=self._parts.costs.life,
-            counts=self._parts.costs.list_counts(),
-            seconds=self._parts.costs.list_seconds(),
+            life=self._context.costs.incarnation,
+            counts=self._context.costs.list_counts(),
+            seconds=self._context.costs.list_seconds(),
         )
 
 
 def setup(app: App) -> None:
-    """Add the services ``upstreams``, ``streams`` and ``server``."""
-    parts = _collect(app)
-    watch = StreamWatch(parts, Prober(parts))
+    """Add the services of the relay.
+
+    These are ``upstreams``, ``streams``, ``server`` and ``housekeeper``.
+    """
+    context = _collect_parts(app)
+    watch = StreamWatch(context, Prober(context))
     metrics = RelayMetrics(
-        parts.log,
+        context.log,
         {
             'streams_open': lambda: len(watch.streams),
-            'configuration_version': lambda: parts.configuration.version,
-            'configuration_age_seconds': lambda: parts.configuration.age,
-            'registry_age_seconds': lambda: parts.replicas.known.age,
-            'replicas_listed': lambda: len(parts.replicas.replicas),
-            'entries_refused': lambda: parts.replicas.refused,
-            'replicas_suspected': lambda: len(parts.replicas.list_suspects()),
-            'first_replicas_full': lambda: len(parts.windows.list_closed()),
-            'requests_quarantined': lambda: parts.quarantine.count_refused(),
-            'replicas_limited': lambda: parts.throttle.count_limited(),
-            'requests_suspected': lambda: parts.quarantine.count_suspects(),
-            'retries_left': lambda: parts.budget.left,
-            'log_lines_dropped': lambda: parts.log.dropped,
+            'configuration_version': lambda: context.configuration.version,
+            'configuration_age_seconds': lambda: context.configuration.age,
+            'registry_age_seconds': lambda: context.replicas.freshness.age,
+            'replicas_listed': lambda: len(context.replicas.replicas),
+            'entries_refused': lambda: context.replicas.refused,
+            'replicas_suspected': lambda: len(context.replicas.list_suspects()),
+            'first_replicas_full': lambda: len(context.windows.list_closed()),
+            'requests_quarantined': lambda: context.quarantine.count_refused(),
+            'replicas_limited': lambda: context.throttle.count_limited(),
+            'requests_suspected': lambda: context.quarantine.count_suspects(),
+            'retries_left': lambda: context.budget.left,
+            'log_lines_dropped': lambda: context.log.dropped,
         },
-        parts.costs,
+        context.costs,
     )
     server = RelayServer(
-        parts,
-        Ingress(parts, watch, metrics),
+        context,
+        Ingress(context, watch, metrics),
         metrics,
         app.find('listener', Listener).front,
     )
-    keeper = Housekeeper(parts, server)
+    housekeeper = Housekeeper(context, server)
     app.hub.connect(SettingsChanged, server.apply_settings)
     app.hub.connect(
-        NodesCounted, lambda counted: server.share_among(counted.nodes)
+        NodeCountChanged, lambda counted: server.set_node_count(counted.nodes)
     )
-    upstreams = parts.upstreams
+    upstreams = context.upstreams
     app.add(
         Service(
             'upstreams', upstreams, start=upstreams.start, stop=upstreams.stop
@@ -159,52 +165,52 @@
     app.add(
         Service(
             'housekeeper',
-            keeper,
+            housekeeper,
             ('server',),
-            start=keeper.start,
-            stop=keeper.stop,
+            start=housekeeper.start,
+            stop=housekeeper.stop,
         )
     )
 
 
-def _collect(app: App) -> Parts:
+def _collect_parts(app: App) -> RelayContext:
     startup = app.find('startup', RelayStartup)
-    wire = app.find('wire', Wire)
-    load = LoadBook()
-    load.share_among(USUAL_NODES)
+    wire = app.find('wire', HeaderCodec)
+    load = LoadTracker()
+    load.set_node_count(ASSUMED_NODES)
     throttle = app.find('throttle', Throttle)
     replicas = app.find('replicas', ReplicaView)
-    return Parts(
+    return RelayContext(
         startup=startup,
         log=app.find('log', LineLog),
         clock=app.clock,
-        chance=app.chance,
+        random_source=app.random_source,
         configuration=app.find('configuration', ConfigurationView),
         replicas=replicas,
-        upstreams=Upstreams(wire, _make_hook(throttle, replicas)),
+        upstreams=Upstreams(wire, _make_answer_hook(throttle, replicas)),
         wire=wire,
-        orders=app.find('orders', Orders),
-        budget=open_budget(
-            RetryTerms(
+        commands=app.find('orders', ReplicaCommands),
+        budget=make_budget(
+            RetryAllowance(
                 startup.retry_ratio, startup.retry_extra, startup.retry_window
             )
         ),
         quarantine=app.find('quarantine', Quarantine),
         throttle=throttle,
-        costs=app.find('costs', CostBook),
+        costs=app.find('costs', UsageTracker),
         load=load,
     )
 
 
-def _make_hook(throttle: Throttle, replicas: ReplicaView) -> AnswerHook:
-    """Join what takes the word of replicas in their answers."""
+def _make_answer_hook(throttle: Throttle, replicas: ReplicaView) -> AnswerHook:
+    """Create the hook that applies what replicas state in their answers."""
 
-    def on_answer(replica: Replica, terms: AnswerTerms) -> None:
+    def on_answer(replica: Replica, terms: AnswerMetadata) -> None:
         # Another replica may have the address by now.
         if terms.entry not in {'', replica.entry}:
             return
-        throttle.note_answer(replica, terms)
+        throttle.record_answer(replica, terms)
         if terms.leaving:
-            replicas.note_leaving(replica)
+            replicas.record_leaving(replica)
 
     return on_answer
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -1,69 +1,76 @@
-"""Grants the permits of replicas that named a limit, to all nodes."""
+"""Grants permits for replicas with a rate limit to all nodes."""
 
 from dataclasses import dataclass, field
 
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
-from ryelatch_core.throttle import Heard, LimitBook, TokenBucket
-from ryelatch_node.news import PermitQuestion, PermitReply
+from ryelatch_core.throttle import LimitTracker, ReportedLimit, TokenBucket
+from ryelatch_node.peer_sync import PermitReply, PermitRequest
 
 
 @dataclass(eq=False)
 class Limiter:
-    """What a node knows of limits, and the permits that it grants by them.
+    """Tracks the limits of replicas and grants permits within them.
 
-    Any node grants that is asked to; which one is asked is for the others to
-    agree on.
+    A node grants permits to any node that requests them; the requesters choose
+    which node they ask.
     """
 
     log: LineLog
     clock: Clock
-    limits: LimitBook = field(default_factory=LimitBook)
+    limits: LimitTracker = field(default_factory=LimitTracker)
     _buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
-    def hear(self, name: str, heard: Heard) -> bool:
-        """Take what a replica said, from whomever.
+    def record_limit(self, name: str, reported: ReportedLimit) -> bool:
+        """Record a limit that a replica reported to any node.
 
-        :returns: whether it has a limit now and had none, or the reverse.
+        :param name: name of the replica's incarnation.
+        :returns: whether the replica now has a limit and had none, or the
+            reverse.
         """
-        if not self.limits.hear(name, heard):
+        if not self.limits.record_limit(name, reported):
             return False
-        if heard.limit is None:
+        if reported.limit is None:
             self.log.record(catalogue.REPLICA_UNLIMITED, replica=name)
         else:
             self.log.record(
-                catalogue.REPLICA_LIMITED, replica=name, limit=heard.limit
+                catalogue.REPLICA_LIMITED, replica=name, limit=reported.limit
             )
         return True
 
-    def answer(self, question: PermitQuestion) -> PermitReply:
-        """Grant a permit to a node that asks, if there is one."""
-        name, now = question.replica, self.clock.monotonic()
-        self.hear(name, Heard(question.limit, now - question.age))
-        heard = self.limits.find(name)
-        if heard is None or heard.limit is None:
+    def handle_request(self, request: PermitRequest) -> PermitReply:
+        """Grant a permit to a node that requests one, if one is available."""
+        name, now = request.replica, self.clock.monotonic()
+        self.record_limit(name, ReportedLimit(request.limit, now - request.age))
+        reported = self.limits.find(name)
+        if reported is None or reported.limit is None:
             self._buckets.pop(name, None)
-            age = question.age if heard is None else max(0, now - heard.at)
+            age = request.age if reported is None else max(0, now - reported.at)
             return PermitReply(True, 0, None, age)
-        bucket = self._buckets.setdefault(name, TokenBucket(heard.limit, now))
-        bucket.resize(heard.limit, now)
-        granted = question.limit is not None and bucket.take(now)
+        bucket = self._buckets.setdefault(
+            name, TokenBucket(reported.limit, now)
+        )
+        bucket.resize(reported.limit, now)
+        granted = request.limit is not None and bucket.take(now)
         wait = bucket.find_wait(now)
-        return PermitReply(granted, wait, heard.limit, max(0, now - heard.at))
+        return PermitReply(
+            granted, wait, reported.limit, max(0, now - reported.at)
+        )
 
-    def make_question(self, name: str) -> PermitQuestion:
-        """Ask for a permit, with what this node knows of the limit."""
-        heard = self.limits.find(name)
+    def make_request(self, name: str) -> PermitRequest:
+        """Build a request for a permit, with this node's view of the limit."""
+        reported = self.limits.find(name)
         now = self.clock.monotonic()
-        if heard is None:
-            return PermitQuestion(name, None, 0)
-        return PermitQuestion(name, heard.limit, max(0, now - heard.at))
+        if reported is None:
+            return PermitRequest(name, None, 0)
+        return PermitRequest(name, reported.limit, max(0, now - reported.at))
 
     def forget_idle(self) -> None:
-        """Forget the permits that nobody asks for any more.
+        """Drop the token buckets of replicas for which no permit is requested.
 
-        Not those of replicas that this node does not list: it may hear of one
-        later than others do, and would begin anew with each question.
+        Buckets of replicas that this node does not list are kept: the node may
+        learn of a replica later than others do, and would start with a new
+        bucket at each request.
         """
         now = self.clock.monotonic()
         self._buckets = {
--- a/tests/core/membership/test_roster.py
+++ b/tests/core/membership/test_roster.py
@@ -1,4 +1,4 @@
-"""Who may get new work, and who speaks to whom."""
+"""Upstreams that may get new work, peers of nodes, and leases."""
 
 from ryelatch_core.membership import (
     TTL_SECONDS,
@@ -6,7 +6,7 @@
     Roster,
     Vm,
     choose_peers,
-    may_order,
+    may_send_command,
     release_lease,
     should_watch,
     take_lease,
@@ -20,8 +20,8 @@
 def test_any_word_of_leaving_is_enough() -> None:
     roster = Roster()
     roster.apply_list([_vm('a'), _vm('b'), _vm('c'), _vm('d')])
-    assert roster.note_leaving('a')
-    assert not roster.note_leaving('a')
+    assert roster.record_leaving('a')
+    assert not roster.record_leaving('a')
     assert roster.apply_peer('peer', ['b']) == ('b',)
     change = roster.apply_list(
         [_vm('a'), _vm('b'), _vm('c', leaving=True), _vm('d')]
@@ -32,9 +32,10 @@
 
 
 def test_word_of_a_peer_ends_with_it() -> None:
-    """An engine is back after a restart, and peers heard that it had left.
+    """An engine restarts after peers have reported that it leaves.
 
-    Were second-hand word passed on, two peers would keep it out for good.
+    If peers passed on each other's reports, two peers would keep the engine
+    out of use for good.
     """
     roster = Roster()
     roster.apply_list([_vm('a')])
@@ -84,19 +85,21 @@
 
 
 def test_orders_of_two_holders_never_overlap() -> None:
-    """The first holder is paused, and its lease lapses without its notice.
+    """The first holder is paused, and its lease expires unnoticed.
 
-    The last moment at which it may send, with the order's own time limit,
-    lies before the first moment at which the next holder may.
+    The last moment at which it may send a command, plus the command's timeout,
+    lies before the first moment at which the next holder may send one.
     """
     renewed = 100.0
     last = max(
-        now / 10 for now in range(1000, 1200) if may_order(renewed, 0, now / 10)
+        now / 10
+        for now in range(1000, 1200)
+        if may_send_command(renewed, 0, now / 10)
     )
     taken = renewed + TTL_SECONDS
     first = min(
         now / 10
         for now in range(1000, 1200)
-        if may_order(taken, taken, now / 10)
+        if may_send_command(taken, taken, now / 10)
     )
     assert last + 2 <= first
--- a/tests/core/pipeline/test_chain.py
+++ b/tests/core/pipeline/test_chain.py
@@ -1,4 +1,4 @@
-"""Chains: checks and choice."""
+"""Tests for checking and choosing chains of engines."""
 
 import itertools
 
@@ -7,16 +7,18 @@
 from hypothesis import strategies as st
 
 from ryelatch_core.pipeline import (
-    Offer,
+    Candidate,
     check_chain,
     choose_chain,
-    cut_prompt,
+    split_prompt,
 )
 
 
-def _chain(*ranges: tuple[int, int], version: str = '1') -> tuple[Offer, ...]:
+def _chain(
+    *ranges: tuple[int, int], version: str = '1'
+) -> tuple[Candidate, ...]:
     return tuple(
-        Offer(f'e{first}-{last}', 'z', first, last, version)
+        Candidate(f'e{first}-{last}', 'z', first, last, version)
         for first, last in ranges
     )
 
@@ -35,19 +37,19 @@
     ],
 )
 def test_wrong_chains_are_refused(
-    chain: tuple[Offer, ...], reason: str
+    chain: tuple[Candidate, ...], reason: str
 ) -> None:
-    """Engines change their ranges while a chain is put together.
+    """Engines change their ranges while a chain is assembled.
 
-    Each way in which layers would be skipped, doubled or mixed is refused
-    before the first token.
+    Each chain that would skip, repeat or mix layers is rejected before the
+    first token.
     """
     assert check_chain(chain, 8, '1').unwrap_err().reason == reason
 
 
 _OFFERS = st.lists(
     st.builds(
-        Offer,
+        Candidate,
         st.uuids().map(str),
         st.sampled_from(('z1', 'z2')),
         st.integers(0, 3),
@@ -60,7 +62,7 @@
 
 
 @given(_OFFERS)
-def test_choice_is_whole_and_cheapest(offers: list[Offer]) -> None:
+def test_choice_is_whole_and_cheapest(offers: list[Candidate]) -> None:
     hops = {('z1', 'z2'): 1.5, ('z2', 'z1'): 1.5}
     chosen = choose_chain(offers, 4, '1', hops)
     possible = [
@@ -78,7 +80,7 @@
 
 
 def _cost(
-    chain: tuple[Offer, ...], hops: dict[tuple[str, str], float]
+    chain: tuple[Candidate, ...], hops: dict[tuple[str, str], float]
 ) -> float:
     pairs = itertools.pairwise(stage.zone for stage in chain)
     return sum(stage.cost for stage in chain) + sum(
@@ -88,8 +90,8 @@
 
 @given(st.integers(1, 100), st.integers(1, 20))
 def test_chunks_tile_a_prompt(length: int, chunk: int) -> None:
-    pieces = cut_prompt(length, chunk)
+    chunks = split_prompt(length, chunk)
     positions = [
-        position for start, end in pieces for position in range(start, end)
+        position for start, end in chunks for position in range(start, end)
     ]
     assert positions == list(range(length))
--- /dev/null
+++ b/tests/core/quarantine/test_tracker.py
@@ -0,0 +1,321 @@
+"""Requests that crash replicas are recognized and refused."""
+
+import itertools
+
+import pytest
+
+from ryelatch_core.quarantine import (
+    Crashes,
+    CrashTracker,
+    RequestPhase,
+    StoredCrashes,
+    StoreWrite,
+)
+from ryelatch_core.quarantine._causes import (
+    FIRST_REFUSAL_SECONDS,
+    RETENTION_SECONDS,
+    SETTLE_SECONDS,
+)
+from ryelatch_core.quarantine._tracker import (
+    CLEANUP_DELAY_SECONDS,
+    CLEARED_SECONDS,
+    MAX_TRACKED_REQUESTS,
+    REPORT_DELAY_SECONDS,
+    REWRITE_SPREAD_SECONDS,
+    SUSPECT_SECONDS,
+)
+
+_NOW = 100.0
+_LATER = _NOW + SETTLE_SECONDS
+
+
+def _make(jitter: float = 0.5) -> CrashTracker:
+    return CrashTracker(jitter)
+
+
+def _crash(
+    tracker: CrashTracker, digest: str, *names: str, now: float = _NOW
+) -> None:
+    for name in names:
+        tracker.record_crash(digest, name, RequestPhase.BEGUN, now)
+
+
+def _crash_waiting(tracker: CrashTracker, digest: str, *names: str) -> None:
+    for name in names:
+        tracker.record_crash(digest, name, RequestPhase.WAITING, _NOW)
+
+
+def _store(digest: str, *begun: str, revision: int = 5) -> StoredCrashes:
+    return StoredCrashes(digest, Crashes(frozenset(begun)), revision)
+
+
+def _refuses(tracker: CrashTracker, digest: str, now: float = _NOW) -> bool:
+    tracker.evaluate(now)
+    return tracker.find_refused(digest) is not None
+
+
+def test_third_end_under_a_request_refuses_it() -> None:
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    assert not _refuses(tracker, 'a')
+    _crash(tracker, 'a', 'r-3')
+    assert _refuses(tracker, 'a')
+    found = tracker.find_refused('a')
+    assert found is not None
+    assert found.incarnations == {'r-1', 'r-2', 'r-3'}
+    assert not _refuses(tracker, 'b')
+
+
+def test_one_end_counts_once() -> None:
+    """Two copies of a request are lost when one replica crashes.
+
+    Counted as two crashes, two losses would refuse a frequent request.
+    """
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-1', 'r-2')
+    tracker.put(_store('a', 'r-1', 'r-2'), _NOW)
+    assert not _refuses(tracker, 'a', _LATER)
+
+
+def test_ends_that_nodes_saw_are_added_up() -> None:
+    """Each attempt of a client reaches another node, which sees one crash."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1')
+    tracker.put(_store('a', 'r-2', 'r-3'), _NOW)
+    assert _refuses(tracker, 'a')
+
+
+def test_lives_of_one_entry_count_each() -> None:
+    """A replica restarts within seconds under its entry and crashes again."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1+100', 'r-1+200', 'r-1+300')
+    assert _refuses(tracker, 'a')
+
+
+def test_cause_clears_those_that_waited() -> None:
+    """Twenty requests wait at a replica when another request crashes it.
+
+    All of them are resent to the same replica as the request that crashes it,
+    three times within a second. None of the twenty is the cause.
+    """
+    tracker = _make()
+    _crash_waiting(tracker, 'waiting', 'r-1', 'r-2', 'r-3')
+    assert not _refuses(tracker, 'waiting')
+    # The cause's node reports it before waiting requests are considered.
+    tracker.put(_store('cause', 'r-1', 'r-2', 'r-3'), _NOW)
+    assert not _refuses(tracker, 'waiting', _LATER)
+    assert _refuses(tracker, 'cause')
+
+
+def test_waiting_counts_less_than_begun() -> None:
+    """At each crash another request had just begun to run.
+
+    None of these has met three crashes, but each explains one crash better
+    than a request that was still waiting at all of them.
+    """
+    tracker = _make()
+    _crash_waiting(tracker, 'waiting', 'r-1', 'r-2', 'r-3')
+    _crash(tracker, 'b', 'r-1')
+    _crash(tracker, 'c', 'r-2')
+    assert not _refuses(tracker, 'waiting', _LATER)
+    _crash(tracker, 'a', 'r-4')
+    _crash_waiting(tracker, 'waiting', 'r-5', 'r-6')
+    assert _refuses(tracker, 'waiting', _LATER)
+
+
+def test_unread_request_may_be_the_cause() -> None:
+    """A prompt crashes the replicas that read it, before an answer begins."""
+    tracker = _make()
+    _crash_waiting(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    assert not _refuses(tracker, 'a')
+    assert _refuses(tracker, 'a', _LATER)
+
+
+def test_request_that_ran_elsewhere_is_cleared() -> None:
+    """A request meets two crashes by chance and is then answered.
+
+    Long streams on preemptible VMs lose many replicas during a day.
+    """
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    assert tracker.is_suspect('a', _NOW)
+    tracker.record_run('a', _NOW)
+    _crash(tracker, 'a', 'r-3', 'r-4', 'r-5', now=_NOW + CLEARED_SECONDS - 1)
+    assert not _refuses(tracker, 'a', _NOW + CLEARED_SECONDS - 1)
+    assert not tracker.is_suspect('a', _NOW)
+
+
+def test_run_of_long_ago_clears_nothing() -> None:
+    """An update makes replicas crash under a request that ran before."""
+    tracker = _make()
+    tracker.record_run('a', _NOW)
+    later = _NOW + CLEARED_SECONDS
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3', now=later)
+    assert _refuses(tracker, 'a', later)
+
+
+def test_run_takes_back_what_others_told() -> None:
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', 'r-2', revision=7), _NOW)
+    tracker.record_run('a', _NOW)
+    assert tracker.list_due_writes(_NOW) == [StoreWrite('a', None, 7)]
+
+
+def test_first_end_is_told_after_a_while() -> None:
+    """Most requests run on another replica at once and cost no store call."""
+    tracker = _make(jitter=0.5)
+    _crash(tracker, 'a', 'r-1')
+    assert not tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS / 2)
+    write = StoreWrite('a', Crashes(frozenset(('r-1',))), 0)
+    assert tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS) == [write]
+    tracker.record_run('a', _NOW)
+    assert not tracker.list_due_writes(_NOW + REPORT_DELAY_SECONDS)
+
+
+def test_second_end_is_told_at_once() -> None:
+    """The next attempt reaches another node, a second later."""
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', revision=7), _NOW)
+    _crash(tracker, 'a', 'r-2')
+    write = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2'))), 7)
+    assert tracker.list_due_writes(_NOW) == [write]
+    tracker.put(_store('a', 'r-1', 'r-2', revision=8), _NOW)
+    assert not tracker.list_due_writes(_NOW)
+
+
+def test_deleted_object_lets_a_request_in() -> None:
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2')
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
+    assert _refuses(tracker, 'a')
+    tracker.remove('a', _NOW)
+    assert not _refuses(tracker, 'a')
+    assert not tracker.list_due_writes(_NOW + RETENTION_SECONDS)
+
+
+def test_what_the_store_lost_is_written_again() -> None:
+    """The store is restored from an older copy, without the last objects.
+
+    A refused request would crash three more replicas before it is refused
+    again. Objects of requests that were only suspected are not rewritten.
+    """
+    tracker = _make(jitter=1)
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3'), _NOW)
+    tracker.put(_store('b', 'r-1'), _NOW)
+    tracker.replace((), _NOW)
+    assert _refuses(tracker, 'a')
+    assert not tracker.list_due_writes(_NOW)
+    lost = StoreWrite('a', Crashes(frozenset(('r-1', 'r-2', 'r-3'))), 0)
+    assert tracker.list_due_writes(_NOW + REWRITE_SPREAD_SECONDS) == [lost]
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=2), _NOW)
+    assert not tracker.list_due_writes(_NOW + REWRITE_SPREAD_SECONDS)
+
+
+def test_own_ends_survive_a_new_list() -> None:
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1')
+    tracker.put(_store('a', 'r-1'), _NOW)
+    tracker.replace((), _NOW)
+    _crash(tracker, 'a', 'r-2', 'r-3')
+    assert _refuses(tracker, 'a')
+
+
+def test_older_revision_is_ignored() -> None:
+    tracker = _make()
+    tracker.put(_store('a', 'r-1', 'r-2', 'r-3', revision=9), _NOW)
+    tracker.put(_store('a', 'r-1', revision=8), _NOW)
+    assert _refuses(tracker, 'a')
+
+
+@pytest.mark.parametrize(
+    ('names', 'lifetime'),
+    [
+        (('r-1',), SUSPECT_SECONDS),
+        (('r-1', 'r-2', 'r-3'), RETENTION_SECONDS),
+    ],
+)
+def test_ends_lapse(names: tuple[str, ...], lifetime: float) -> None:
+    """A request that crashed replicas may run after their software is fixed."""
+    tracker = _make()
+    _crash(tracker, 'a', *names)
+    tracker.put(_store('a', *names, revision=7), _NOW)
+    assert not tracker.list_due_writes(_NOW + lifetime - 1)
+    assert tracker.list_due_writes(_NOW + lifetime + 1) == [
+        StoreWrite('a', None, 7)
+    ]
+
+
+def test_refused_request_is_tried_again_later() -> None:
+    """Replicas of a bad release crash one after the other, whatever they run.
+
+    A request that met three of these crashes would be refused for good.
+    """
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    later = _NOW + FIRST_REFUSAL_SECONDS
+    assert _refuses(tracker, 'a', later - 1)
+    assert not _refuses(tracker, 'a', later)
+    tracker.record_run('a', later)
+    _crash(tracker, 'a', 'r-4', now=later + CLEARED_SECONDS)
+    assert not _refuses(tracker, 'a', later + CLEARED_SECONDS)
+
+
+def test_next_end_refuses_it_for_longer() -> None:
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    later = _NOW + FIRST_REFUSAL_SECONDS
+    _crash(tracker, 'a', 'r-4', now=later)
+    assert _refuses(tracker, 'a', later + FIRST_REFUSAL_SECONDS)
+    assert not _refuses(tracker, 'a', later + 6 * FIRST_REFUSAL_SECONDS)
+
+
+def test_one_of_many_explains_what_all_lost() -> None:
+    """All replicas of a service crash under several frequent requests.
+
+    All nodes would refuse all of these requests when the service is back.
+    """
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3', 'r-4')
+    _crash(tracker, 'b', 'r-2', 'r-3', 'r-4')
+    _crash(tracker, 'c', 'r-1', 'r-2', 'r-4', 'r-5')
+    assert _refuses(tracker, 'a')
+    assert not _refuses(tracker, 'b')
+    assert not _refuses(tracker, 'c')
+
+
+def test_several_causes_are_refused_each() -> None:
+    """An account sends several requests that crash different replicas."""
+    tracker = _make()
+    _crash(tracker, 'a', 'r-1', 'r-2', 'r-3')
+    _crash(tracker, 'b', 'r-4', 'r-5', 'r-6', 'r-3')
+    _crash(tracker, 'c', 'r-7', 'r-8', 'r-9')
+    assert set(tracker.refused) == {'b', 'c'}
+    _crash(tracker, 'a', 'r-10')
+    assert set(tracker.refused) == {'a', 'b', 'c'}
+
+
+def test_object_of_a_lost_node_is_deleted() -> None:
+    tracker = _make(jitter=0.5)
+    tracker.put(_store('a', 'r-1', revision=7), _NOW)
+    assert not tracker.list_due_writes(_NOW + SUSPECT_SECONDS + 1)
+    later = _NOW + SUSPECT_SECONDS + CLEANUP_DELAY_SECONDS + 1
+    assert tracker.list_due_writes(later) == [StoreWrite('a', None, 7)]
+
+
+def test_suspects_are_bounded_and_refusals_kept() -> None:
+    """An account sends a different request before each crash."""
+    tracker = _make()
+    _crash(tracker, 'refused', 'r-1', 'r-2', 'r-3')
+    for number in range(MAX_TRACKED_REQUESTS + 10):
+        _crash(tracker, f'other-{number}', 'r-1')
+    assert len(tracker) == MAX_TRACKED_REQUESTS
+    assert _refuses(tracker, 'refused')
+
+
+def test_a_case_is_bounded() -> None:
+    crashes = Crashes()
+    for number in itertools.count():
+        crashes = crashes.add(f'r-{number}', RequestPhase.BEGUN)
+        if number > 100:
+            break
+    assert len(crashes.incarnations) < 20
--- a/tests/core/retries/test_budget.py
+++ b/tests/core/retries/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of retries."""
+"""Budget of retries."""
 
 from ryelatch_core.retries import RetryBudget
 
@@ -6,9 +6,9 @@
 def test_retries_stay_a_share_of_requests() -> None:
     """All upstreams fail for a thousand requests.
 
-    Without a budget there would be two thousand retries more.
+    Without a budget there would be two thousand further attempts.
     """
-    budget = RetryBudget(share=0.1, reserve=10)
+    budget = RetryBudget(ratio=0.1, reserve=10)
     retries = 0
     for _ in range(1000):
         budget.earn()
@@ -18,10 +18,10 @@
 
 
 def test_waiting_refills_a_part() -> None:
-    """Nothing is earned while all requests fail; some retries come free."""
-    budget = RetryBudget(share=0, reserve=4, rate=0.5)
+    """Without first attempts nothing is earned, but the rate adds retries."""
+    budget = RetryBudget(ratio=0, reserve=4, rate=0.5)
     while budget.spend():
-        """Use up what was saved."""
+        """Spend all retries in reserve."""
     budget.refill(2)
     assert budget.spend()
     assert not budget.spend()
--- a/tests/core/routing/test_table.py
+++ b/tests/core/routing/test_table.py
@@ -1,11 +1,11 @@
-"""Requests find their route, account and service."""
+"""Look-ups of the route, account and service of a request."""
 
 from collections import Counter
 
 from ryelatch_core.routing import (
     Account,
     Configuration,
-    Repeat,
+    RetryPolicy,
     Route,
     Split,
     build_table,
@@ -19,7 +19,7 @@
         host=host,
         prefix=prefix,
         splits=(Split('old', 3), Split('new', 1)),
-        repeat=Repeat.ANY,
+        retry_policy=RetryPolicy.ANY,
         streaming=False,
         max_attempts=2,
         timeout=1,
@@ -54,5 +54,5 @@
 
 def test_splits_follow_their_weights() -> None:
     route = _make_route('/')
-    drawn = Counter(choose_service(route, step / 1000) for step in range(1000))
-    assert drawn == {'old': 750, 'new': 250}
+    chosen = Counter(choose_service(route, step / 1000) for step in range(1000))
+    assert chosen == {'old': 750, 'new': 250}
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -1,4 +1,4 @@
-"""A model and a fleet of the usual kinds, for tests of the decisions."""
+"""A typical model and fleet for tests of placement and path choice."""
 
 import random
 
@@ -11,16 +11,16 @@
     Stage,
 )
 
-USUAL = ModelProfile(
+TYPICAL_MODEL = ModelProfile(
     layers=80,
     layer_mb=1750,
-    cache_mb=0.01475,
+    kv_cache_mb=0.01475,
     step_ms=1.02,
-    writer_ms=0.0092,
-    read_per_ms=164,
+    sequence_ms=0.0092,
+    prefill_tokens_per_ms=164,
     load_seconds=14,
-    usual_prompt=775,
-    usual_answer=216,
+    typical_prompt=775,
+    typical_answer=216,
     accelerators={
         'a100': Accelerator(72_000, 2.4, 3.2),
         'v100': Accelerator(14_400, 5.3, 7.9),
@@ -61,21 +61,21 @@
 
 
 def make_query(seed: int = 1, **changes: object) -> PathQuery:
-    """Ask for a path for a usual request."""
-    chance = random.Random(seed)
+    """Make the query of a path for a typical request."""
+    rng = random.Random(seed)
     fields: dict[str, object] = {
-        'profile': USUAL,
+        'profile': TYPICAL_MODEL,
         'zone': 'zone-a',
         'prompt': 775,
         'answer': 216,
-        'draw': chance.random,
+        'sample': rng.random,
         **changes,
     }
     return PathQuery(**fields)  # type: ignore[arg-type]
 
 
-def runs_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
-    """Whether a path runs each layer once and in order."""
+def runs_each_layer_once(path: tuple[Stage, ...], layers: int = 80) -> bool:
+    """Return whether a path runs each layer once and in order."""
     run = [
         layer
         for stage in path
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""One node at a time gives orders, and a lost one is followed soon."""
+"""One node at a time sends placement commands; a lost one is replaced soon."""
 
 import asyncio
 import dataclasses
@@ -10,18 +10,18 @@
 from ryelatch_core.fleet import LayerRange
 from ryelatch_core.membership import NEVER, Lease
 from ryelatch_node.ports import (
+    CommandResult,
     LeaseRecord,
     LeaseStore,
-    OrderResult,
 )
 
 
 async def test_one_node_orders_while_a_load_lasts() -> None:
-    """Layers are lost; loading them elsewhere takes longer than patience.
+    """Loading lost layers elsewhere takes longer than the takeover delay.
 
-    Every node sees the gap for as long. When patience was counted from the
-    gap alone, all took the lease in turn and gave the same order again, and
-    each began the load anew.
+    Every node sees the gap until then. When the delay was counted from the gap
+    alone, all nodes took the lease in turn and repeated the same command, and
+    each command restarted the load.
     """
     platform = FakePlatform(load_seconds=2.5)
     async with run_nodes(platform, 4):
@@ -31,18 +31,18 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(2)
-    assert len(platform.orders) == 1
+    assert len(platform.commands) == 1
     assert platform.record.lease is not None
     assert platform.record.lease.fence == 1
 
 
 async def test_lost_holder_is_followed() -> None:
-    """The holder of the lease is gone; a gap opens.
+    """Layers are lost after the holder of the lease is gone.
 
     Another node takes the lease under a higher fencing number within about
-    a second, and orders.
+    a second, and sends the commands.
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 2):
@@ -52,16 +52,17 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders, 5)
-    assert platform.orders[0][2] == 8
+        await wait_until(lambda: platform.commands, 5)
+    assert platform.commands[0][2] == 8
 
 
 async def test_fenced_node_orders_no_more() -> None:
     """An engine has seen a higher fencing number than this node's.
 
-    Another node is at work. Ordering on would be refused each time.
+    Another node controls placement, and engines would refuse each further
+    command of this node.
     """
-    platform = FakePlatform(result=OrderResult.FENCED)
+    platform = FakePlatform(result=CommandResult.FENCED)
     async with run_nodes(platform, 1):
         platform.list_replicas(
             [
@@ -69,13 +70,13 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.4)
-        assert len(platform.orders) == 1
+        assert len(platform.commands) == 1
 
 
 async def test_unwritten_lease_gives_no_orders() -> None:
-    """The store does not answer the claim: nobody may order."""
+    """The store does not reply to a claim, so no node may send commands."""
     platform = FakePlatform(lose_writes=True)
     async with run_nodes(platform, 2):
         platform.list_replicas(
@@ -85,15 +86,15 @@
             ]
         )
         await asyncio.sleep(1.5)
-    assert not platform.orders
+    assert not platform.commands
 
 
 async def test_busy_replica_is_left_alone() -> None:
-    """A replica refuses as it carries out an earlier order.
+    """A replica refuses a command as it is executing an earlier one.
 
-    Asked again at once it refuses again, each time at a price.
+    It would refuse each immediate retry, and each of them has a cost.
     """
-    platform = FakePlatform(result=OrderResult.CONFLICT)
+    platform = FakePlatform(result=CommandResult.CONFLICT)
     async with run_nodes(platform, 1):
         platform.list_replicas(
             [
@@ -101,21 +102,21 @@
                 make_replica('m-1', LayerRange(4, 7)),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.7)
-        assert len(platform.orders) <= 2
+        assert len(platform.commands) <= 2
 
 
 async def test_number_of_another_holder_is_not_used() -> None:
-    """Another node takes the lease between a renewal and an order.
+    """Another node takes the lease between a renewal and a command.
 
-    An order under that node's number would pass for its own, and the engine
-    could not tell the older plan from the newer one.
+    If this node used the fencing number of the other one, the engine could not
+    tell the older plan from the newer one.
     """
     platform = FakePlatform()
     async with run_nodes(platform, 1):
-        duty = platform.duties[0]
-        await wait_until(lambda: duty.lease.holder)
+        controller = platform.controllers[0]
+        await wait_until(lambda: controller.lease.holder)
         write = platform.write
 
         async def write_and_lose(
@@ -123,10 +124,12 @@
         ) -> LeaseRecord | None:
             written = await write(lease, revision)
             other = LeaseRecord(Lease('other', 9), revision + 2, revision + 1)
-            asyncio.get_running_loop().call_soon(duty.lease.follow, other)
+            asyncio.get_running_loop().call_soon(
+                controller.lease.apply_record, other
+            )
             return written
 
-        duty.lease.store = LeaseStore(write_and_lose)
+        controller.lease.store = LeaseStore(write_and_lose)
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 4)),
@@ -134,20 +137,20 @@
             ]
         )
         await asyncio.sleep(1)
-    assert 9 not in {fence for _, _, fence in platform.orders}
+    assert 9 not in {fence for _, _, fence in platform.commands}
 
 
 async def test_steady_fleet_is_planned_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing changes for seconds; plans at each tick cost 5% of a core."""
+    """Planning an unchanged fleet at each tick took 5% of a core."""
     plans = []
 
     def count(*known: object, **options: object) -> tuple[()]:
         plans.append(known)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 1):
         platform.list_replicas([make_replica('m-0', LayerRange(0, 8))])
@@ -159,10 +162,11 @@
 
 
 async def test_zone_in_change_is_not_laid_out() -> None:
-    """Replicas are replaced one after the other, and layers are missing.
+    """Replicas are replaced one after another while layers are missing.
 
-    Laying the zone out anew for each of them would change every range each
-    time, and the zone would never be whole. It waits until they have settled.
+    Reassigning all layers of the zone at each replacement would change every
+    range each time, and the zone would never hold all layers. The controller
+    waits until the list of replicas is stable.
     """
     platform = FakePlatform()
     # Four layers fill such a replica, so neither can reach into the gap, and
@@ -181,15 +185,16 @@
             )
             platform.list_replicas([*held, changing])
             await asyncio.sleep(0.5)
-        assert not platform.orders
-        await wait_until(lambda: platform.orders)
+        assert not platform.commands
+        await wait_until(lambda: platform.commands)
 
 
 async def test_replica_that_waits_is_not_ordered_again() -> None:
-    """A replica gives up layers and waits for long answers through them.
+    """A replica that drops layers waits for long answers that use them.
 
-    Its new layers come late. Taken for idle it was ordered again and again,
-    and others were ordered to close the same gap.
+    Its new layers are loaded late. When it was assumed to be idle, it received
+    the command again and again, and other replicas were commanded to close the
+    same gap.
     """
     platform = FakePlatform(load_seconds=30)
     async with run_nodes(platform, 1):
@@ -200,30 +205,30 @@
                 make_replica('m-2', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
-        first = list(platform.orders)
-        # Longer than a load may take before it is given up.
+        await wait_until(lambda: platform.commands)
+        first = list(platform.commands)
+        # Longer than a load may take before it counts as failed.
         await asyncio.sleep(4)
-        assert platform.orders == first
+        assert platform.commands == first
 
 
 async def test_holder_that_knew_first_is_left_alone() -> None:
-    """The holder hears of a loss half a second before the others.
+    """The holder learns of a loss half a second before the other nodes.
 
-    It renews its lease and orders, and the others hear of that before they
-    hear of the loss. It is at work; a second node that took the lease gave
-    other orders to the same replicas.
+    It renews its lease and sends commands, and the others receive the renewal
+    before they learn of the loss. When a second node took the lease then, it
+    sent different commands to the same replicas.
     """
     platform = FakePlatform(load_seconds=2.5)
     gap = [make_replica('m-0', LayerRange(0, 4)), make_replica('m-1', None)]
     async with run_nodes(platform, 2):
-        first, second = platform.duties
+        first, second = platform.controllers
         second.replicas.replace([], unanswered=NEVER)
         first.replicas.replace(gap, unanswered=NEVER)
         first.wake(None)  # type: ignore[arg-type]
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.2)
         second.replicas.replace(gap, unanswered=NEVER)
         second.wake(None)  # type: ignore[arg-type]
         await asyncio.sleep(1.8)
-        assert {node for node, _, _ in platform.orders} == {'node-0'}
+        assert {node for node, _, _ in platform.commands} == {'node-0'}
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/placement/test_turns.py
@@ -1,4 +1,4 @@
-"""Who plans, and whose turn it is to follow a lost holder."""
+"""Which node plans, and which one replaces a lost holder of the lease."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 from fleet.running import wait_until
 from ryelatch_core.fleet import LayerRange
 from ryelatch_core.membership import Lease
-from ryelatch_node.duty._lease import (
-    LONGEST_SPREAD_SECONDS,
-    TAKE_SPREAD_SECONDS,
+from ryelatch_node.placement._lease import (
+    BASE_JITTER_SECONDS,
+    MAX_JITTER_SECONDS,
 )
 from ryelatch_node.ports import (
     LeaseRecord,
@@ -20,11 +20,11 @@
 async def test_only_the_holder_plans_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Replicas change one after the other in a fleet of many nodes.
+    """Replicas change one after another in a fleet of many nodes.
 
-    Each node used to plan at each change, also those that may order nothing.
-    A plan of two hundred replicas takes 56 ms of a core, and callers of all
-    nodes waited behind plans that nobody carried out.
+    Each node used to plan at each change, even if it must not send commands.
+    A plan for two hundred replicas takes 56 ms of a core, so that clients of
+    all nodes waited for plans that were never executed.
     """
     planned: list[object] = []
 
@@ -32,7 +32,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform(record=LeaseRecord(Lease('node-0', 1), 1))
     async with run_nodes(platform, 12):
         for number in range(10):
@@ -49,10 +49,10 @@
 async def test_first_layout_is_planned_by_one_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A whole fleet starts, and nobody holds any layer yet.
+    """A fleet starts whose replicas hold no layers yet.
 
-    The first plan is the longest one. Nodes whose turns lay closer together
-    than that all worked it out before they heard that one had the lease.
+    The first plan takes the longest. Nodes whose turns were closer together
+    than that all computed it before they learned that one had the lease.
     """
     planned: list[object] = []
 
@@ -60,7 +60,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 12):
         platform.list_replicas([make_replica('m-0', None)])
@@ -70,35 +70,37 @@
 
 
 async def test_empty_replica_is_used_without_the_holder() -> None:
-    """The holder of the lease is gone, and a replica comes in empty.
+    """Empty replicas register after the holder of the lease is gone.
 
-    No layer is missing, so nobody is in a hurry; but it is put to use.
+    No layer is missing, so the takeover is slow, but they are put to use.
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 1):
-        platform.duties[0].lease.spread = 0
+        platform.controllers[0].lease.base_jitter = 0
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 8)),
-                *(make_replica(f'm-{one}', None) for one in (1, 2, 3)),
+                *(make_replica(f'm-{number}', None) for number in (1, 2, 3)),
             ]
         )
-        await wait_until(lambda: platform.orders, 8)
-    assert platform.orders[0][2] == 8
+        await wait_until(lambda: platform.commands, 8)
+    assert platform.commands[0][2] == 8
 
 
 def test_claims_stay_rare_in_large_fleets() -> None:
-    """A holder is lost in a fleet of two hundred nodes.
+    """The holder of the lease is lost in a fleet of two hundred nodes.
 
-    With a spread for eight, three hundred turns fall into each second and
-    as many nodes plan the same repair.
+    With the jitter of a fleet of eight, turns come at a rate of three hundred
+    per second, and as many nodes plan the same repair.
     """
     platform = FakePlatform()
-    draws = [one / 200 for one in range(200)]
-    for draw in draws:
-        duty = platform.add_node(f'node-{draw}', TAKE_SPREAD_SECONDS * draw)
-        duty.lease.nodes = len(draws)
-    waits = [duty.lease.patience for duty in platform.duties]
-    early = [wait for wait in waits if wait < TAKE_SPREAD_SECONDS / 6]
+    samples = [number / 200 for number in range(200)]
+    for sample in samples:
+        controller = platform.add_node(
+            f'node-{sample}', BASE_JITTER_SECONDS * sample
+        )
+        controller.lease.nodes = len(samples)
+    waits = [controller.lease.jitter for controller in platform.controllers]
+    early = [wait for wait in waits if wait < BASE_JITTER_SECONDS / 6]
     assert len(early) <= 4
-    assert max(waits) <= LONGEST_SPREAD_SECONDS
+    assert max(waits) <= MAX_JITTER_SECONDS
--- a/tests/node/relay/test_budget.py
+++ b/tests/node/relay/test_budget.py
@@ -1,13 +1,13 @@
-"""All nodes together keep within the retries that are allowed."""
+"""All nodes together stay within the allowed number of retries."""
 
 from ryelatch_core.retries import RetryBudget
 from ryelatch_node.relay._budget import (
-    RetryTerms,
-    open_budget,
-    share_budget,
+    RetryAllowance,
+    make_budget,
+    resize_budget,
 )
 
-_TERMS = RetryTerms(ratio=0.2, extra=300, window=10)
+_ALLOWANCE = RetryAllowance(ratio=0.2, extra=300, window=10)
 
 
 def _spend_all(budget: RetryBudget) -> int:
@@ -24,35 +24,36 @@
 
 
 def test_restart_of_all_nodes_stays_within_bounds() -> None:
-    """Sixty nodes are killed together in the middle of an outage.
+    """Sixty nodes are killed and restarted together during an outage.
 
-    Each retries all that it may, before and after, and again once it knows
-    how many nodes there are. Taken for eight they spent 779 retries in ten
-    seconds where 692 were allowed, and the outage fed itself.
+    Each spends its whole budget before the kill, after it, and again once the
+    nodes have been counted. When new processes assumed eight nodes, they spent
+    779 retries in ten seconds where 692 were allowed, and the retries prolonged
+    the outage.
     """
     spent = 0
     for _ in range(60):
-        before = open_budget(_TERMS)
-        share_budget(before, _TERMS, 60)
+        before = make_budget(_ALLOWANCE)
+        resize_budget(before, _ALLOWANCE, 60)
         spent += _spend_all(before)
-        after = open_budget(_TERMS)
+        after = make_budget(_ALLOWANCE)
         spent += _spend_all(after)
-        share_budget(after, _TERMS, 60)
+        resize_budget(after, _ALLOWANCE, 60)
         spent += _spend_all(after)
-    assert spent <= _TERMS.extra
+    assert spent <= _ALLOWANCE.extra
 
 
 def test_long_outage_stays_within_bounds() -> None:
-    """Eight nodes retry all that they may for several windows."""
-    budgets = [open_budget(_TERMS) for _ in range(8)]
+    """Eight nodes spend their whole budgets for several windows."""
+    budgets = [make_budget(_ALLOWANCE) for _ in range(8)]
     seconds = 40
     requests = 25
     spent = 0
     for _ in range(seconds):
         for budget in budgets:
-            share_budget(budget, _TERMS, 8)
+            resize_budget(budget, _ALLOWANCE, 8)
             budget.refill(1)
             spent += _serve(budget, requests)
-    windows = seconds / _TERMS.window
-    allowed = _TERMS.ratio * requests * seconds * len(budgets)
-    assert spent <= allowed + _TERMS.extra * windows
+    windows = seconds / _ALLOWANCE.window
+    allowed = _ALLOWANCE.ratio * requests * seconds * len(budgets)
+    assert spent <= allowed + _ALLOWANCE.extra * windows
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -1,4 +1,4 @@
-"""Permits that nodes grant each other for a replica in need."""
+"""Permits that nodes grant each other for a replica with a rate limit."""
 
 import asyncio
 import math
@@ -8,10 +8,10 @@
 
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import rank_limiters
-from ryelatch_node.news import PermitQuestion
-from ryelatch_node.throttle._lines import ASK_SECONDS
+from ryelatch_node.peer_sync import PermitRequest
+from ryelatch_node.throttle._permit_client import PERMIT_TIMEOUT_SECONDS
 from virtual.loop import run
-from virtual.throttles import REPLICA, ThrottledFleet, make_terms
+from virtual.throttles import REPLICA, ThrottledFleet, make_metadata
 
 _SPAN = 4.0
 
@@ -33,24 +33,24 @@
     return asyncio.get_running_loop().time()
 
 
-async def _tell_all(fleet: ThrottledFleet) -> None:
-    """Let each node hear the limit once."""
+async def _report_limit(fleet: ThrottledFleet) -> None:
+    """Report the limit to each node once."""
     for throttle in fleet.nodes.values():
-        throttle.note_answer(REPLICA, make_terms(fleet.limit))
+        throttle.record_answer(REPLICA, make_metadata(fleet.limit))
 
 
 @pytest.mark.parametrize('limit', [0, 0.5, 1, 4.2, 40])
 @pytest.mark.parametrize('nodes', [1, 8, 60, 1400])
 def test_limit_holds_at_any_size(limit: float, nodes: int) -> None:
-    """The more nodes there are, the more a replica in need gets."""
+    """If each node applied the limit alone, it would grow with the fleet."""
 
     async def main() -> None:
         fleet = ThrottledFleet(limit)
         names = _name_nodes(nodes)
         fleet.start(names)
-        await _tell_all(fleet)
-        await fleet.press(names, 12, gap=0.002)
-        assert fleet.count_most(0, _SPAN) <= _allow(limit)
+        await _report_limit(fleet)
+        await fleet.send_in_turn(names, 12, gap=0.002)
+        assert fleet.count_max(0, _SPAN) <= _allow(limit)
         assert len(fleet.sent) >= 0.6 * limit * 12
         assert fleet.sent
         await fleet.stop()
@@ -59,7 +59,7 @@
 
 
 def test_limit_holds_while_lists_of_nodes_differ() -> None:
-    """A node that has just come grants beside the one that granted before."""
+    """A new node grants permits while others still ask the earlier limiter."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
@@ -67,32 +67,35 @@
         fleet.start(names)
         first = _rank(names)[0]
         older = [name for name in names if name != first]
-        fleet.know(older[:4], older)
-        await _tell_all(fleet)
-        await fleet.press(names, 12, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        fleet.update_nodes(older[:4], older)
+        await _report_limit(fleet)
+        await fleet.send_in_turn(names, 12, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         await fleet.stop()
 
     run(main())
 
 
 def test_limit_holds_while_the_limiter_is_lost() -> None:
-    """Each node that finds the limiter gone grants for itself."""
+    """The limiter is lost, and all nodes have to agree on the next one.
+
+    If each node granted permits for itself, the limit would be exceeded.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         first = _rank(names)[0]
         living = [name for name in names if name != first]
-        await fleet.press(names, 6, gap=0.005)
-        fleet.dark.add(first)
+        await fleet.send_in_turn(names, 6, gap=0.005)
+        fleet.unreachable.add(first)
         for throttle in fleet.nodes.values():
-            throttle.lines.stop()
+            throttle.permit_client.stop()
         lost = _now()
-        await fleet.press(living, 10, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        await fleet.send_in_turn(living, 10, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         after = [at for at, _ in fleet.sent if at > lost + 2]
         assert len(after) >= 0.6 * 4.2 * 8
         await fleet.stop()
@@ -101,38 +104,46 @@
 
 
 def test_question_without_reply_is_short() -> None:
-    """Each request waits for nodes that are gone, and none finds the next."""
+    """The first two limiters of a replica do not reply.
+
+    If they were asked again by every request, each would wait for them, and
+    none would reach the third limiter.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         ranked = _rank(names)
-        fleet.dark.update(ranked[:2])
-        asker = fleet.nodes[ranked[5]]
+        fleet.unreachable.update(ranked[:2])
+        node = fleet.nodes[ranked[5]]
         began = _now()
-        assert not await asker.take(REPLICA)
-        assert _now() - began <= 2 * ASK_SECONDS + 0.01
+        assert not await node.acquire_permit(REPLICA)
+        assert _now() - began <= 2 * PERMIT_TIMEOUT_SECONDS + 0.01
         began = _now()
-        assert await asker.take(REPLICA)
-        assert _now() - began < ASK_SECONDS / 2
+        assert await node.acquire_permit(REPLICA)
+        assert _now() - began < PERMIT_TIMEOUT_SECONDS / 2
         await fleet.stop()
 
     run(main())
 
 
 def test_end_of_a_limit_is_soon_known_to_all() -> None:
-    """Nodes hold back from a replica that is well, each until it has tried."""
+    """A limit ends.
+
+    If the end were not shared, each node would hold back requests until it
+    learned of it from an answer of its own.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(1)
         names = _name_nodes(60)
         fleet.start(names)
-        await _tell_all(fleet)
-        await fleet.press(names, 5, gap=0.01)
+        await _report_limit(fleet)
+        await fleet.send_in_turn(names, 5, gap=0.01)
         fleet.limit = None
-        await fleet.press(names, 3, gap=0.01)
+        await fleet.send_in_turn(names, 3, gap=0.01)
         limited = [
             name
             for name, throttle in fleet.nodes.items()
@@ -144,19 +155,21 @@
     run(main())
 
 
-def test_late_word_of_a_limit_brings_it_not_back() -> None:
-    """A peer that heard of a limit before its end limits the others anew."""
+def test_outdated_report_does_not_restore_a_limit() -> None:
+    """A peer that missed the end of a limit still reports the limit."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(2)
         fleet.start(names)
         limiter = fleet.nodes[_rank(names)[0]]
-        limiter.note_answer(REPLICA, make_terms(4.2))
+        limiter.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        limiter.note_answer(REPLICA, make_terms(None))
+        limiter.record_answer(REPLICA, make_metadata(None))
         await asyncio.sleep(1)
-        reply = limiter.limiter.answer(PermitQuestion(REPLICA.name, 4.2, 1.5))
+        reply = limiter.limiter.handle_request(
+            PermitRequest(REPLICA.name, 4.2, 1.5)
+        )
         assert reply.granted
         assert reply.limit is None
         assert not limiter.is_limited(REPLICA.name)
@@ -166,50 +179,57 @@
 
 
 def test_nonsense_of_a_peer_limits_nothing() -> None:
-    """A peer out of its mind makes a node leave a sound replica."""
+    """An invalid limit from a peer must not limit a healthy replica."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.nan, 0))
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.inf, 0))
+        node.limiter.handle_request(PermitRequest(REPLICA.name, math.nan, 0))
+        node.limiter.handle_request(PermitRequest(REPLICA.name, math.inf, 0))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
     run(main())
 
 
-def test_limiter_that_lists_no_replica_counts() -> None:
-    """A node that hears of a replica late grants anew each half second."""
+def test_limiter_counts_without_listed_replica() -> None:
+    """A limiter learns of a replica later than other nodes do.
+
+    If it dropped the token bucket of a replica that it does not list, it would
+    start with a new one and grant a permit every half second.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(0)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         limiter = fleet.nodes[_rank(names)[0]]
         for _ in range(24):
-            await fleet.press(names, 0.5, gap=0.01)
+            await fleet.send_in_turn(names, 0.5, gap=0.01)
             limiter.keep(())
-        assert fleet.count_most(0, _SPAN) <= _allow(0)
+        assert fleet.count_max(0, _SPAN) <= _allow(0)
         await fleet.stop()
 
     run(main())
 
 
-def test_refusal_without_a_word_ends_no_limit() -> None:
-    """A replica in need refuses one request, and all nodes send as before."""
+def test_unsigned_refusal_ends_no_limit() -> None:
+    """An unsigned refusal names no limit, although the replica has one.
+
+    If that ended the limit, all nodes would send requests as before.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.note_answer(REPLICA, make_terms(4.2))
+        node.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        node.note_answer(REPLICA, make_terms(None, signed=False))
+        node.record_answer(REPLICA, make_metadata(None, signed=False))
         assert node.is_limited(REPLICA.name)
-        node.note_answer(REPLICA, make_terms(None))
+        node.record_answer(REPLICA, make_metadata(None))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
@@ -217,17 +237,21 @@
 
 
 def test_vms_gone_for_good_grant_nothing() -> None:
-    """The first two nodes that would grant were removed; nobody may send."""
+    """The VMs of the first two limiters were removed permanently.
+
+    They stay in the list of nodes. If they were asked each time, no node would
+    get a permit.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
+        await _report_limit(fleet)
         gone = _rank(names)[:2]
-        fleet.dark.update(gone)
+        fleet.unreachable.update(gone)
         living = [name for name in names if name not in gone]
-        await fleet.press(living, 30, gap=0.01)
+        await fleet.send_in_turn(living, 30, gap=0.01)
         assert len(fleet.sent) >= 0.5 * 4.2 * 30
         asked = [line for line in fleet.lines if line['name'] == 'limiter-left']
         assert len(asked) <= len(living) * len(gone) * 5
@@ -237,16 +261,19 @@
 
 
 def test_burst_at_one_node_blames_no_limiter() -> None:
-    """Those who wait for others' questions take the limiter for silent."""
+    """Requests wait for a connection to the limiter that others use.
+
+    If that wait counted, they would take the limiter for unresponsive.
+    """
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         names = _name_nodes(8)
         fleet.start(names)
-        await _tell_all(fleet)
-        asker = fleet.nodes[_rank(names)[3]]
+        await _report_limit(fleet)
+        node = fleet.nodes[_rank(names)[3]]
         granted = await asyncio.gather(
-            *(asker.take(REPLICA) for _ in range(100))
+            *(node.acquire_permit(REPLICA) for _ in range(100))
         )
         assert 1 <= sum(granted) <= 4
         assert not any(line['name'] == 'limiter-left' for line in fleet.lines)
@@ -256,7 +283,7 @@
 
 
 def test_limiters_differ_by_replica() -> None:
-    """One node is asked about all replicas in need."""
+    """If limiters did not differ, one node would grant all permits."""
     nodes = [NodeEntry(name, 'zone-a', f'{name}:1') for name in _name_nodes(8)]
     chosen = Counter(
         rank_limiters(f'b-{number}', nodes)[0].name for number in range(80)
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -1,4 +1,4 @@
-"""Nodes that grant each other permits, in virtual time."""
+"""Nodes that grant each other permits for a replica, in virtual time."""
 
 import asyncio
 import json
@@ -10,9 +10,9 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import News
-from ryelatch_node.ports import AnswerTerms
-from ryelatch_node.throttle import PermitLines, Throttle
+from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.ports import AnswerMetadata
+from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 
@@ -21,57 +21,75 @@
 
 @dataclass(eq=False)
 class ThrottledFleet:
-    """Nodes that send to one replica, which names a limit.
+    """Nodes that send requests to one replica with a rate limit.
 
-    :param limit: named in each answer; nothing for none.
-    :param dark: nodes that can't be reached.
-    :param sent: when a request reached the replica, and from which node.
+    :param limit: requests per second that the replica reports in each answer;
+        ``None`` if it reports no limit.
+    :param unreachable: nodes that can't be reached.
+    :param sent: when each request reached the replica, and from which node.
+    :param lines: log lines of all nodes.
     """
 
     limit: float | None
     nodes: dict[str, Throttle] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     sent: list[tuple[float, str]] = field(default_factory=list)
     lines: list[dict[str, Any]] = field(default_factory=list)
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
 
     def start(self, names: Iterable[str]) -> None:
-        """Start nodes that know each other."""
+        """Start nodes that have each other in their lists of nodes."""
         for name in names:
             self.nodes[name] = self._make(name)
-        self.know(self.nodes, self.nodes)
+        self.update_nodes(self.nodes, self.nodes)
 
-    def know(self, knowing: Iterable[str], known: Iterable[str]) -> None:
-        """Let some nodes know of some nodes."""
-        entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in known]
-        for name in knowing:
-            self.nodes[name].news.know(entries)
+    def update_nodes(self, names: Iterable[str], peers: Iterable[str]) -> None:
+        """Set the list of nodes that some nodes have."""
+        entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in peers]
+        for name in names:
+            self.nodes[name].peer_sync.update_nodes(entries)
 
     async def send(self, name: str) -> bool:
-        """Send a request from a node, if it has leave, and hear the answer."""
+        """Send a request from a node, if it gets a permit.
+
+        :returns: whether the request was sent.
+        """
         throttle = self.nodes[name]
         if REPLICA.name in throttle.list_closed():
             return False
-        if not await throttle.take(REPLICA):
+        if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.note_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_metadata(self.limit))
         return True
 
-    async def press(self, names: list[str], seconds: float, gap: float) -> None:
-        """Send from some nodes in turn, one request each so many seconds."""
+    async def send_in_turn(
+        self, names: list[str], seconds: float, gap: float
+    ) -> None:
+        """Send requests from some nodes in turn.
+
+        :param seconds: how long to send.
+        :param gap: seconds between requests.
+        """
         loop = asyncio.get_running_loop()
-        ends = loop.time() + seconds
-        while loop.time() < ends:
+        end = loop.time() + seconds
+        while loop.time() < end:
             for name in names:
-                self._tasks.append(asyncio.create_task(self._press_once(name)))
+                self._tasks.append(asyncio.create_task(self._send_once(name)))
                 await asyncio.sleep(gap)
 
-    def count_most(self, since: float, span: float) -> int:
-        """Count the most requests that came within some seconds."""
+    def count_max(self, since: float, span: float) -> int:
+        """Return the maximum number of requests in any period of a length.
+
+        :param since: time before which requests are ignored.
+        :param span: length of the period in seconds.
+        """
         times = [at for at, _ in self.sent if at >= since]
         return max(
-            (sum(one <= at < one + span for at in times) for one in times),
+            (
+                sum(begin <= at < begin + span for at in times)
+                for begin in times
+            ),
             default=0,
         )
 
@@ -82,16 +100,16 @@
         for throttle in self.nodes.values():
             await throttle.stop()
 
-    async def _press_once(self, name: str) -> None:
+    async def _send_once(self, name: str) -> None:
         await self.send(name)
 
     def _make(self, name: str) -> Throttle:
         clock = VirtualClock()
         log = LineLog(name, clock, self._write)
         startup = make_startup(1)._replace(name=name)
-        news = News(log, clock, startup, self._dial)
+        peer_sync = PeerSync(log, clock, startup, self._dial)
         return Throttle(
-            log, clock, startup, news, PermitLines(log, clock, news)
+            log, clock, startup, peer_sync, PermitClient(log, clock, peer_sync)
         )
 
     def _write(self, line: bytes) -> int:
@@ -99,15 +117,20 @@
         return len(line)
 
     async def _dial(self, host: str, _: int) -> Any:
-        if host in self.dark:
+        if host in self.unreachable:
             await asyncio.Event().wait()
         await asyncio.sleep(LINK_SECONDS)
-        near, far = open_pair(lambda: host not in self.dark)
-        serving = self.nodes[host].news.server.serve(*far)
+        near, far = open_pair(lambda: host not in self.unreachable)
+        serving = self.nodes[host].peer_sync.server.serve(*far)
         self._tasks.append(asyncio.create_task(serving))
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerTerms:
-    """Make what an answer says that names a limit."""
-    return AnswerTerms('', signed, not signed, '', False, limit=limit)
+def make_metadata(
+    limit: float | None, *, signed: bool = True
+) -> AnswerMetadata:
+    """Create the metadata of an answer that may report a rate limit.
+
+    :param limit: requests per second; ``None`` for no limit.
+    """
+    return AnswerMetadata('', signed, not signed, '', False, limit=limit)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -1,4 +1,4 @@
-"""Nodes that follow the registry of a stand-in store, in virtual time."""
+"""A simulated fleet whose nodes follow a stand-in store, in virtual time."""
 
 import asyncio
 import json
@@ -10,12 +10,12 @@
 from fleet.running import PLAIN_SERVICE, make_configuration, make_startup
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import Hub
-from ryelatch_core.membership import NodeEntry, reckon_terms
-from ryelatch_core.quarantine import Book
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_core.membership import NodeEntry, compute_departure_bounds
+from ryelatch_core.quarantine import CrashTracker
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import Address
 from ryelatch_node.quarantine import Quarantine
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_platform._follow import Follower
 from ryelatch_platform._kinds import (
     Kind,
@@ -25,23 +25,26 @@
 )
 from ryelatch_platform._quarantine import make_quarantine_store
 from ryelatch_platform._store import StoreClient
-from ryelatch_platform._waits import ARRIVAL_SECONDS
+from ryelatch_platform._watch_timing import FLEET_START_SECONDS
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 from virtual.store import VirtualStore
 
 HOUSEKEEPING_SECONDS = 0.5
-"""How often a node drops what is due; see the relay's housekeeper."""
+"""How often a node drops expired entries, as the relay's housekeeper does."""
 
 
 @dataclass(eq=False)
 class VirtualNode:
-    """A node, as far as it follows the store."""
+    """The parts of a node that follow the store.
+
+    :param lines: log lines of the node.
+    """
 
     name: str
     view: ReplicaView
     configuration: ConfigurationView
-    news: News
+    peer_sync: PeerSync
     store: StoreClient
     follower: Follower
     quarantine: Quarantine
@@ -49,62 +52,68 @@
     tasks: list['asyncio.Task[None]'] = field(default_factory=list)
 
     async def start(self) -> None:
-        """Start to follow, and to drop what is due."""
+        """Start following the store and dropping expired entries."""
         await self.store.start()
         await self.quarantine.start()
-        self.news.start_greeting()
+        self.peer_sync.start_bootstrapper()
         await self.follower.start()
-        self.tasks.append(asyncio.create_task(self._keep_house()))
+        self.tasks.append(asyncio.create_task(self._housekeep()))
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop the node."""
         await self.follower.stop()
         await self.quarantine.stop()
-        await self.news.stop()
+        await self.peer_sync.stop()
         for task in self.tasks:
             task.cancel()
         await self.store.stop()
 
     def offers(self, name: str) -> bool:
-        """Whether a replica may get a request now."""
+        """Return whether the node may send a request to a replica now."""
         return any(
-            one.name == name for one in self.view.list_service(PLAIN_SERVICE)
+            replica.name == name
+            for replica in self.view.list_service(PLAIN_SERVICE)
         )
 
     def count(self, event: str) -> int:
-        """Count the lines of an event."""
+        """Count the log lines of an event kind."""
         return sum(line['name'] == event for line in self.lines)
 
-    async def _keep_house(self) -> None:
+    async def _housekeep(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self.view.drop_lapsed()
-            self.quarantine.judge()
+            self.view.drop_expired()
+            self.quarantine.evaluate()
 
 
 @dataclass(eq=False)
 class World:
-    """A store and the nodes that follow it.
+    """A simulated fleet: a store and the nodes that follow it.
 
     :param drain: seconds for which a replica that has left may get requests.
-    :param steady: seconds without trouble after which nodes are held to it.
-    :param dark: nodes whose links to other nodes carry nothing.
-    :param zones: of nodes that are not in ``zone-a``.
-    :param refuses: whether the nodes follow what is refused, too.
-    :param untold: makes a kind that they follow, and that no peer tells.
+    :param steady: seconds without faults after which nodes must meet
+        ``drain``.
+    :param unreachable: nodes whose links to other nodes transmit nothing.
+    :param zones: zones of the nodes that are not in ``zone-a``.
+    :param follows_quarantine: whether the nodes follow the quarantine, too.
+    :param make_unshared_kind: creates another kind of object that the nodes
+        follow, and that no peer announces.
     """
 
     drain: float = 2.0
     steady: float = 3.0
     store: VirtualStore = field(default_factory=VirtualStore)
     nodes: dict[str, VirtualNode] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     zones: dict[str, str] = field(default_factory=dict)
-    refuses: bool = False
-    untold: Callable[[], Kind] | None = None
+    follows_quarantine: bool = False
+    make_unshared_kind: Callable[[], Kind] | None = None
 
     async def start(self, names: Iterable[str], replicas: int = 4) -> None:
-        """Start nodes that know each other, and let them settle."""
+        """Start nodes that have each other in their lists of nodes.
+
+        Returns when their first watches are established.
+        """
         self.store.put('config', 'main', make_configuration())
         for number in range(replicas):
             self.register(f'b-{number}')
@@ -115,9 +124,9 @@
             for order, name in enumerate(self.nodes)
         ]
         for node in self.nodes.values():
-            node.news.know(entries)
+            node.peer_sync.update_nodes(entries)
             await node.start()
-        await asyncio.sleep(ARRIVAL_SECONDS + 1)
+        await asyncio.sleep(FLEET_START_SECONDS + 1)
 
     async def stop(self) -> None:
         """Stop all nodes."""
@@ -125,7 +134,7 @@
             await node.stop()
 
     async def restart(self, names: Iterable[str]) -> None:
-        """Let nodes end, and start again knowing nothing, all at once."""
+        """Stop nodes and start all of them again with an empty state."""
         for name in names:
             await self.nodes[name].stop()
             self.nodes[name] = self._make(name)
@@ -133,7 +142,7 @@
             await self.nodes[name].start()
 
     def register(self, name: str, state: str = 'ready') -> None:
-        """Write a replica's entry."""
+        """Write the entry of a replica into the registry."""
         spec = {
             'service': PLAIN_SERVICE,
             'addr': f'10.0.0.{1 + crc32(name.encode()) % 200}:8000',
@@ -146,8 +155,8 @@
         }
         self.store.put('servers', name, spec)
 
-    def leave(self, name: str) -> None:
-        """Let the store accept that a replica is gone."""
+    def deregister(self, name: str) -> None:
+        """Delete the entry of a replica that has left."""
         self.store.drop('servers', name)
 
     def _find_zone(self, name: str) -> str:
@@ -165,8 +174,8 @@
         startup = make_startup(1)._replace(
             name=name, zone=self._find_zone(name)
         )
-        terms = reckon_terms(self.drain, self.steady)
-        view = ReplicaView(log, clock, Hub(), terms)
+        bounds = compute_departure_bounds(self.drain, self.steady)
+        view = ReplicaView(log, clock, Hub(), bounds)
         configuration = ConfigurationView(log, clock, startup.revoke_seconds)
         store = StoreClient(
             startup.store,
@@ -174,33 +183,40 @@
             clock.monotonic,
             lambda: self.store.open_session(name),  # type: ignore
         )
-        news = News(log, clock, startup, self._dial(name))
-        news.address = Address(name, 1)
-        patience = crc32(name.encode()) % 100 / 100
+        peer_sync = PeerSync(log, clock, startup, self._dial(name))
+        peer_sync.address = Address(name, 1)
+        jitter = crc32(name.encode()) % 100 / 100
         quarantine = Quarantine(
-            log, clock, make_quarantine_store(store), Book(patience)
+            log, clock, make_quarantine_store(store), CrashTracker(jitter)
         )
         kinds = [
             follow_configuration(log, configuration),
             follow_registry(log, view),
         ]
-        if self.refuses:
+        if self.follows_quarantine:
             kinds.append(follow_quarantine(log, quarantine))
-        if self.untold:
-            kinds.append(self.untold())
-        follower = Follower(store, news, log, clock, tuple(kinds))
+        if self.make_unshared_kind:
+            kinds.append(self.make_unshared_kind())
+        follower = Follower(store, peer_sync, log, clock, tuple(kinds))
         return VirtualNode(
-            name, view, configuration, news, store, follower, quarantine, lines
+            name,
+            view,
+            configuration,
+            peer_sync,
+            store,
+            follower,
+            quarantine,
+            lines,
         )
 
     def _dial(self, caller: str) -> Any:
         async def dial(host: str, port: int) -> Any:
             peer = self.nodes[host]
-            if self.dark & {caller, host}:
+            if self.unreachable & {caller, host}:
                 await asyncio.Event().wait()
             await asyncio.sleep(LINK_SECONDS)
-            near, far = open_pair(lambda: not self.dark & {caller, host})
-            serving = peer.news.server.serve(*far)
+            near, far = open_pair(lambda: not self.unreachable & {caller, host})
+            serving = peer.peer_sync.server.serve(*far)
             peer.tasks.append(asyncio.create_task(serving))
             return near
 
