--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -54,7 +54,7 @@
     nodes: int = _NODES
     key: Callable[[str], str] = '{}-key'.format
     tweak: Callable[[dict[str, Any]], object] = lambda tree: None
-    peers_apart: bool = False
+    isolate_nodes: bool = False
     kill: bool = False
 
 
@@ -126,7 +126,7 @@
         options=('--step-ms', '10', '--position-us', '25'),
     )
     run = Run()
-    async with run_fleet(shape, apart=scenario.peers_apart) as fleet:
+    async with run_fleet(shape, isolate_nodes=scenario.isolate_nodes) as fleet:
         end = time.monotonic() + _SECONDS
         calls = [
             asyncio.create_task(_call_large(fleet, run, scenario, number, end))
@@ -165,7 +165,7 @@
     Scenario('surge, all nodes', _SURGE),
     Scenario('surge, one node', _SURGE, nodes=1),
     Scenario('surge and a stage killed', _SURGE, kill=True),
-    Scenario('no news between nodes', _SURGE, peers_apart=True),
+    Scenario('no news between nodes', _SURGE, isolate_nodes=True),
     Scenario(
         'first come first served',
         _SURGE,
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Starts stand-ins and nodes as processes, for tests, demo and benchmarks."""
+"""Starts nodes and stand-ins for tests, the demonstration and benchmarks."""
--- a/tests/fleet/caller.py
+++ b/tests/fleet/caller.py
@@ -1,4 +1,4 @@
-"""A caller of a model that reads an event stream and times it."""
+"""A client that reads the event stream of a model's answer and times it."""
 
 import asyncio
 import json
@@ -14,9 +14,10 @@
 
 @dataclass
 class Heard:
-    """What a caller got.
+    """What a client has received of one streamed answer.
 
-    :param times: monotonic seconds of each piece of text.
+    :param done: whether the final ``[DONE]`` event was received.
+    :param times: monotonic seconds at which each piece of text arrived.
     """
 
     status: int = 0
@@ -30,19 +31,19 @@
 
     @property
     def longest_gap(self) -> float:
-        """The longest wait between two pieces, in seconds."""
+        """The longest time between two pieces of text, in seconds."""
         pairs = zip(self.times, self.times[1:], strict=False)
         return max((after - before for before, after in pairs), default=0)
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Read one whole answer of raw HTTP, however it arrives in pieces.
+    """Read a complete HTTP response from a raw connection.
 
-    One ``read`` gives what has come so far: on a busy machine the head
-    without its body.
+    A single ``read`` returns only what has arrived so far: on a busy machine
+    that may be the headers without the body.
 
-    :returns: the head, and the body: by its length, or to the end of the
-        connection where no length is given.
+    :returns: the headers, and the body: as long as ``Content-Length`` says, or
+        up to the end of the connection where that header is missing.
     """
     head = await reader.readuntil(b'\r\n\r\n')
     length = re.search(rb'\r\ncontent-length: *(\d+)', head, re.IGNORECASE)
@@ -60,9 +61,11 @@
     heard: Heard | None = None,
     model: str = 'textile-care',
 ) -> Heard:
-    """Ask for a streamed chat answer.
+    """Send a chat request, and read its streamed answer.
 
-    :param heard: filled while the answer comes.
+    :param limit: maximum number of tokens.
+    :param heard: filled while the answer arrives, so that a caller can look
+        at it meanwhile.
     """
     heard = heard or Heard()
     heard.started = time.monotonic()
@@ -85,11 +88,11 @@
             heard.error = (await response.json())['error']
             return heard
         async for line in response.content:
-            _take_line(heard, line)
+            _apply_line(heard, line)
     return heard
 
 
-def _take_line(heard: Heard, line: bytes) -> None:
+def _apply_line(heard: Heard, line: bytes) -> None:
     if not line.startswith(b'data: '):
         return
     payload = line[len(b'data: ') :].strip()
@@ -102,10 +105,10 @@
         return
     for choice in event['choices']:
         heard.finish = choice['finish_reason'] or heard.finish
-        _take_piece(heard, choice['delta'].get('content', ''))
+        _append_piece(heard, choice['delta'].get('content', ''))
 
 
-def _take_piece(heard: Heard, piece: str) -> None:
+def _append_piece(heard: Heard, piece: str) -> None:
     if piece:
         heard.text += piece
         heard.times.append(time.monotonic())
--- a/tests/fleet/checks.py
+++ b/tests/fleet/checks.py
@@ -1,4 +1,4 @@
-"""What the stand-ins saw, held against what callers were told."""
+"""Checks on what the stand-ins ran, and helpers for bookings and events."""
 
 from collections import defaultdict
 from typing import Any
@@ -10,10 +10,10 @@
 
 
 async def read_ledgers(fleet: Fleet) -> list[tuple[str, int, int, int, int]]:
-    """Read what all living engines ran.
+    """Read the steps that all running engines have executed.
 
-    :returns: stream, attempt, position, first layer, last layer; one entry
-        for each position.
+    :returns: stream, attempt, position, first layer, and the layer after the
+        last; one entry for each position.
     """
     entries = []
     for spec in fleet.shape.engines:
@@ -32,8 +32,8 @@
 async def check_layers_once(fleet: Fleet) -> None:
     """Check that no attempt ran a layer twice or out of order.
 
-    Within an attempt each layer meets each position once, and positions come
-    one after the other without a gap.
+    Within an attempt, each layer runs each position once, in ascending order
+    and without gaps.
     """
     seen: dict[tuple[str, int, int], list[int]] = defaultdict(list)
     for stream, attempt, position, first, last in await read_ledgers(fleet):
@@ -45,7 +45,7 @@
 
 
 async def check_streams_freed(fleet: Fleet) -> None:
-    """Wait until no engine holds a stream any more."""
+    """Wait until no running engine holds the state of a stream."""
 
     async def freed() -> bool:
         held = [
@@ -59,7 +59,10 @@
 
 
 async def count_runs(fleet: Fleet) -> dict[str, int]:
-    """Count how often each booking ran, over all plain upstreams."""
+    """Count how often each booking ran, over all non-model upstreams.
+
+    :returns: number of runs by the booking's body.
+    """
     total: dict[str, int] = defaultdict(int)
     for name in fleet.shape.plain:
         process = fleet.processes[name]
@@ -71,7 +74,7 @@
 
 
 async def set_booking_faults(fleet: Fleet, **faults: Any) -> None:
-    """Set the faults of all plain upstreams."""
+    """Set the faults that all non-model upstreams simulate."""
     for name in fleet.shape.plain:
         await fleet.control(fleet.processes[name], 'faults', faults)
 
@@ -83,8 +86,9 @@
     key: str = '',
     **headers: str,
 ) -> tuple[int, str, dict[str, Any]]:
-    """Make a booking.
+    """Send a booking to a node.
 
+    :param key: idempotency key; none is sent if it is empty.
     :returns: status, outcome and JSON body; status 0 and outcome ``cut`` if
         the connection broke.
     """
@@ -105,7 +109,7 @@
 
 
 async def list_events(fleet: Fleet, name: str) -> list[dict[str, Any]]:
-    """List the events of a name over all living nodes."""
+    """List the events of a name in the timelines of all running nodes."""
     return [
         event
         for node in fleet.nodes
--- a/tests/fleet/demo.py
+++ b/tests/fleet/demo.py
@@ -1,4 +1,4 @@
-"""The main job, shown: answers stay whole while processes die."""
+"""Demonstrates that answers stay complete and correct while processes die."""
 
 import asyncio
 import sys
@@ -14,37 +14,42 @@
 _START = time.monotonic()
 
 
-def tell(text: str) -> None:
-    """Show progress."""
+def report_progress(text: str) -> None:
+    """Print a line of progress, with the seconds since the start."""
     print(f'[{time.monotonic() - _START:5.1f} s] {text}', flush=True)
 
 
 async def show_answer(fleet: Fleet) -> bool:
-    """Stream an answer while a stage of it is killed."""
+    """Stream an answer, and kill an engine of its chain meanwhile.
+
+    :returns: whether the answer is complete and correct.
+    """
     heard = Heard()
     node = fleet.nodes[0]
-    asking = asyncio.create_task(
+    request_task = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
     )
     await fleet.wait_until(lambda: len(heard.text) > _TOKENS // 4)
     request = heard.headers['x-ryelatch-request']
     chain = await find_chain(fleet, request)
-    tell(f'{len(heard.text)} tokens are there; killing stage {chain[1]}')
+    report_progress(
+        f'{len(heard.text)} tokens received; killing engine {chain[1]}'
+    )
     await fleet.processes[chain[1]].kill()
-    await asking
-    right = heard.text == complete_chat(_CONTENT, 12, _TOKENS)
-    tell(
-        f'the answer is {"whole and right" if right else "WRONG"}: '
+    await request_task
+    correct = heard.text == complete_chat(_CONTENT, 12, _TOKENS)
+    report_progress(
+        f'the answer is {"complete and correct" if correct else "WRONG"}: '
         f'{len(heard.text)} tokens, longest gap '
         f'{heard.longest_gap * 1000:.0f} ms'
     )
     _, lines, _ = await fleet.run_cli('timeline', '--request', request)
-    tell(f'its time line:\n{lines}')
-    return right and heard.done
+    report_progress(f'its timeline:\n{lines}')
+    return correct and heard.done
 
 
 async def find_chain(fleet: Fleet, request: str) -> list[str]:
-    """Find the engines that an answer runs on."""
+    """Find the engines of the chain that an answer runs on at present."""
     events = await fleet.ask_admin(
         fleet.nodes[0], f'timeline?request={request}'
     )
@@ -57,7 +62,10 @@
 
 
 async def show_booking(fleet: Fleet) -> bool:
-    """Make a booking, and ask for it again through another node."""
+    """Send the same booking through two nodes.
+
+    :returns: whether it ran once and both nodes gave the same response.
+    """
     replies = []
     for node in fleet.nodes[:2]:
         async with fleet.http.post(
@@ -74,42 +82,54 @@
         for name in fleet.shape.plain
     ]
     total = sum(sum(found.values()) for found in runs)
-    tell(f'a booking sent through two nodes: {replies[0]}; it ran {total}x')
+    report_progress(
+        f'a booking sent to two nodes: {replies[0]}; it ran {total} time(s)'
+    )
     return total == 1 and replies[0] == replies[1]
 
 
 async def show_stop(fleet: Fleet) -> bool:
-    """Stop a node in order while it streams an answer."""
+    """Shut down a node by ``SIGTERM`` while it streams an answer.
+
+    :returns: whether the answer is complete and the node exited with code 0.
+    """
     node = fleet.nodes[1]
     heard = Heard()
-    asking = asyncio.create_task(
+    request_task = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
     )
     await fleet.wait_until(lambda: len(heard.text) > _TOKENS // 4)
-    tell(f'planned stop of {node.name} after {len(heard.text)} tokens')
+    report_progress(f'shutting down {node.name} after {len(heard.text)} tokens')
     code = await node.stop()
-    await asking
-    right = heard.text == complete_chat(_CONTENT, 12, _TOKENS)
-    tell(
-        f'{node.name} ended with exit code {code}; its answer is '
-        f'{"whole and right" if right else "WRONG"}'
+    await request_task
+    correct = heard.text == complete_chat(_CONTENT, 12, _TOKENS)
+    report_progress(
+        f'{node.name} exited with code {code}; its answer is '
+        f'{"complete and correct" if correct else "WRONG"}'
     )
-    return right and code == 0
+    return correct and code == 0
 
 
 async def main() -> int:
-    """Run the demonstration; 0 if all answers were right."""
-    tell('starting a platform, 6 engines, 3 booking services and 3 nodes')
+    """Run the demonstration.
+
+    :returns: exit code: 0 if all answers were complete and correct.
+    """
+    report_progress(
+        'starting a platform, 6 engines, 3 booking services and 3 nodes'
+    )
     async with run_fleet(make_shape()) as fleet:
-        tell('settings applied:')
+        report_progress('settings applied:')
         _, lines, _ = await fleet.run_cli('status')
-        tell(f'status:\n{lines}')
+        report_progress(f'status:\n{lines}')
         results = [
             await show_answer(fleet),
             await show_booking(fleet),
             await show_stop(fleet),
         ]
-    tell('all answers whole and right' if all(results) else 'FAILED')
+    report_progress(
+        'all answers complete and correct' if all(results) else 'FAILED'
+    )
     return 0 if all(results) else 1
 
 
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet: platform, engines, plain services, nodes."""
+"""Starts a complete fleet: platform, engines, non-model services and nodes."""
 
 import asyncio
 import json
@@ -25,7 +25,12 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """An engine to start."""
+    """An engine to start.
+
+    :param first: first layer that it runs.
+    :param last: the layer after the last that it runs.
+    :param options: further command-line options of the stand-in.
+    """
 
     name: str
     zone: str
@@ -36,10 +41,14 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """What a fleet consists of.
+    """The processes and settings of a fleet.
 
+    :param settings: file name of the example settings.
+    :param role: role of the non-model upstreams, as the settings name it.
     :param nodes: availability zone by name of the node.
-    :param plain: availability zone by name of the plain upstream.
+    :param plain: availability zone by name of the non-model upstream.
+    :param startup: start-up settings that all nodes share.
+    :param tweak: changes the example settings before they are applied.
     """
 
     settings: str
@@ -61,7 +70,13 @@
     tweak: Callable[[dict[str, Any]], object] | None = None,
     **startup: Any,
 ) -> Shape:
-    """Make the shape of the Saigon example, in small."""
+    """Make a small fleet after the Saigon example.
+
+    :param stages: number of stages that the model's layers are split into.
+    :param replicas: number of engines for each stage.
+    :param options: further command-line options of all engines.
+    :param startup: start-up settings that all nodes share.
+    """
     zones = ('hcm-q1', 'hcm-td', 'hcm-bt')
     layers = 12
     width = layers // stages
@@ -93,7 +108,11 @@
 
 
 class Fleet:
-    """Running processes, and short ways to use them."""
+    """The running processes of a fleet, and helpers to control them.
+
+    :param shape: the processes to start.
+    :param folder: folder for settings files.
+    """
 
     def __init__(self, shape: Shape, folder: Path) -> None:
         self.shape = shape
@@ -107,12 +126,12 @@
 
     @property
     def platform(self) -> Process:
-        """The stand-in for the platform."""
+        """The process that stands in for the platform."""
         return self.processes['platform']
 
     @property
     def nodes(self) -> list[Process]:
-        """The nodes that were started, by name."""
+        """The nodes that have been started, in the order of the shape."""
         return [
             self.processes[name]
             for name in self.shape.nodes
@@ -120,13 +139,13 @@
         ]
 
     async def start_platform(self) -> None:
-        """Start the platform."""
+        """Start the platform's stand-in."""
         self.processes['platform'] = await spawn_standin(
             'platform', 'platform', '--token', PLATFORM_TOKEN
         )
 
     async def start_upstreams(self) -> None:
-        """Start all engines and plain services."""
+        """Start all engines and non-model services."""
         await asyncio.gather(
             *(self.start_engine(spec) for spec in self.shape.engines),
             *(
@@ -136,7 +155,7 @@
         )
 
     async def start_engine(self, spec: EngineSpec, port: int = 0) -> Process:
-        """Start an engine and list it."""
+        """Start an engine, and add it to the platform's list of VMs."""
         shape = self.shape
         process = await spawn_standin(
             spec.name,
@@ -147,17 +166,21 @@
             *spec.options,
             port=port,
         )
-        await self._list(process, 'engine', spec.zone)
+        await self._add_vm(process, 'engine', spec.zone)
         return process
 
     async def start_plain(self, name: str, zone: str) -> Process:
-        """Start a plain service and list it."""
+        """Start a non-model service, and add it to the list of VMs."""
         process = await spawn_standin(name, 'booking')
-        await self._list(process, self.shape.role, zone)
+        await self._add_vm(process, self.shape.role, zone)
         return process
 
     async def start_node(self, name: str, **extra: Any) -> Process:
-        """Start a node and wait until it listens."""
+        """Start a node, wait until it listens, and add it to the list of VMs.
+
+        :param extra: start-up settings of this node only.
+        :raises RuntimeError: if the node exits instead; holds its log.
+        """
         startup: dict[str, Any] = {
             'name': name,
             'zone': self.shape.nodes[name],
@@ -171,50 +194,58 @@
         file.write_text(yaml.safe_dump(startup | self.shape.startup | extra))
         process = await spawn(name, [str(BIN / 'ryelatch-node'), str(file)])
         self.processes[name] = process
-        await self.wait_until(lambda: _find_ports(process) or _ended(process))
+        await self.wait_until(
+            lambda: _find_ports(process) or _has_exited(process)
+        )
         ports = _find_ports(process)
         if not ports:
             raise RuntimeError('\n'.join(process.log))
         process.address = f'127.0.0.1:{ports["port"]}'
         address = f'127.0.0.1:{ports["peers"]}'
-        self.vms[name] = _describe(name, 'node', address, startup['zone'])
+        self.vms[name] = _make_vm(name, 'node', address, startup['zone'])
         await self.publish_vms()
         return process
 
     async def publish_vms(self) -> None:
-        """Let the platform know the VMs."""
+        """Send the list of VMs to the platform."""
         await self.control(self.platform, 'vms', list(self.vms.values()))
 
     async def forget(self, name: str) -> None:
-        """Take a VM off the list."""
+        """Remove a VM from the platform's list."""
         self.vms.pop(name, None)
         await self.publish_vms()
 
-    async def control(self, process: Process, what: str, body: Any) -> None:
-        """Change a stand-in."""
-        url = f'{process.url}/control/{what}'
+    async def control(self, process: Process, endpoint: str, body: Any) -> None:
+        """Change the behaviour of a stand-in through its control interface."""
+        url = f'{process.url}/control/{endpoint}'
         async with self.http.put(url, json=body) as response:
             response.raise_for_status()
 
-    async def inspect(self, process: Process, what: str) -> Any:
-        """Read from a stand-in what it saw."""
-        url = f'{process.url}/control/{what}'
+    async def inspect(self, process: Process, endpoint: str) -> Any:
+        """Read a record of a stand-in through its control interface."""
+        url = f'{process.url}/control/{endpoint}'
         async with self.http.get(url) as response:
             return json.loads(await response.text())
 
     async def silence(self, process: Process) -> None:
-        """Let all open connections of a stand-in go silent for good."""
+        """Stop all traffic on the open connections of a stand-in for good.
+
+        The connections stay open, so only a timeout shows the fault.
+        """
         url = f'{process.url}/control/silence'
         async with self.http.post(url) as response:
             response.raise_for_status()
 
     async def run_cli(self, *arguments: str) -> tuple[int, str, str]:
-        """Run the command line; its exit code and output."""
+        """Run the ``ryelatch`` command against this fleet.
+
+        :returns: exit code, standard output, standard error.
+        """
         env = os.environ | {
             'RYELATCH_PLATFORM_URL': self.platform.url,
             'RYELATCH_PLATFORM_TOKEN': PLATFORM_TOKEN,
             'RYELATCH_NODES': ','.join(
-                node.url for node in self.nodes if not _ended(node)
+                node.url for node in self.nodes if not _has_exited(node)
             ),
             'RYELATCH_OPERATOR_KEY': OPERATOR_KEY,
             'COLUMNS': '200',
@@ -230,7 +261,12 @@
         return child.returncode or 0, output.decode(), errors.decode()
 
     async def apply(self, file: Path | None = None) -> str:
-        """Apply settings through the command line."""
+        """Apply settings by ``ryelatch settings apply``.
+
+        :param file: settings to apply; by default those of the shape.
+        :returns: output of the command.
+        :raises RuntimeError: if the command fails; holds its output.
+        """
         path = file or self.write_settings(self.shape.tweak)
         code, output, errors = await self.run_cli(
             'settings', 'apply', str(path)
@@ -244,7 +280,7 @@
         tweak: Callable[[dict[str, Any]], object] | None = None,
         name: str = 'settings.yaml',
     ) -> Path:
-        """Write the example's settings, changed, into a file."""
+        """Write the example settings to a file, after changes by ``tweak``."""
         example = EXAMPLES / self.shape.settings
         tree = yaml.safe_load(example.read_text())
         if tweak is not None:
@@ -254,12 +290,12 @@
         return path
 
     async def status(self, node: Process) -> dict[str, Any]:
-        """Ask a node what it knows."""
+        """Read the status of a node."""
         answer: dict[str, Any] = await self.ask_admin(node, 'status')
         return answer
 
     async def ask_admin(self, node: Process, path: str) -> Any:
-        """Call an operators' endpoint of a node."""
+        """Call an admin endpoint of a node with an operator's key."""
         async with self.http.get(
             f'{node.url}/admin/{path}',
             headers={'Authorization': f'Bearer {OPERATOR_KEY}'},
@@ -272,10 +308,16 @@
         *,
         peers: bool = True,
     ) -> None:
-        """Wait until all nodes have links to all engines and to peers."""
-        streams = len([node for node in self.nodes if not _ended(node)]) - 1
+        """Wait until all nodes are connected to engines and to each other.
+
+        :param count: number of engines; by default all of the shape.
+        :param peers: whether to wait for connections between nodes as well.
+        """
+        other_nodes = (
+            len([node for node in self.nodes if not _has_exited(node)]) - 1
+        )
         wanted = len(self.shape.engines) if count is None else count
-        running = [node for node in self.nodes if not _ended(node)]
+        running = [node for node in self.nodes if not _has_exited(node)]
 
         async def connected() -> bool:
             found = [await self.status(node) for node in running]
@@ -285,40 +327,40 @@
                     for upstream in status['upstreams']
                 )
                 >= wanted
-                and len(status['peers']) >= streams * peers
+                and len(status['peers']) >= other_nodes * peers
                 for status in found
             )
 
         await self.wait_for(connected)
 
     async def wait_for(self, condition: Callable[[], Any]) -> None:
-        """Wait until an asynchronous condition holds."""
+        """Wait until an asynchronous condition is true."""
         async with asyncio.timeout(_WAIT_SECONDS):
             while not await condition():
                 await asyncio.sleep(_POLL_SECONDS)
 
     async def wait_until(self, condition: Callable[[], Any]) -> None:
-        """Wait until a condition holds."""
+        """Wait until a condition is true."""
         async with asyncio.timeout(_WAIT_SECONDS):
             while not condition():
                 await asyncio.sleep(_POLL_SECONDS)
 
     async def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         await self.http.close()
         await asyncio.gather(
             *(process.kill() for process in self.processes.values())
         )
 
-    async def _list(self, process: Process, role: str, zone: str) -> None:
+    async def _add_vm(self, process: Process, role: str, zone: str) -> None:
         self.processes[process.name] = process
-        self.vms[process.name] = _describe(
+        self.vms[process.name] = _make_vm(
             process.name, role, process.address, zone
         )
         await self.publish_vms()
 
 
-def _describe(name: str, role: str, address: str, zone: str) -> dict[str, Any]:
+def _make_vm(name: str, role: str, address: str, zone: str) -> dict[str, Any]:
     return {
         'name': name,
         'role': role,
@@ -329,13 +371,13 @@
 
 
 def _find_ports(node: Process) -> dict[str, str]:
-    """Read the ports that the system chose from a node's first line."""
+    """Read the ports that the system chose from a node's start event."""
     lines = [line for line in node.log if 'RL1101' in line]
     words = lines[0].split() if lines else []
     return dict(word.split('=', 1) for word in words if '=' in word)
 
 
-def _ended(process: Process) -> bool:
+def _has_exited(process: Process) -> bool:
     return process.child.returncode is not None
 
 
@@ -343,11 +385,12 @@
 async def run_fleet(
     shape: Shape,
     *,
-    apart: bool = False,
+    isolate_nodes: bool = False,
 ) -> AsyncIterator[Fleet]:
-    """Bring up a fleet with its settings in force, and end it after.
+    """Start a fleet, apply its settings, and kill it afterwards.
 
-    :param apart: the nodes don't know each other's key, so hear nothing.
+    :param isolate_nodes: whether each node gets a peer key of its own, so that
+        nodes refuse each other's connections.
     """
     async with AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
@@ -356,12 +399,14 @@
         await fleet.start_platform()
         await fleet.start_upstreams()
         keys = {
-            name: {'peer_key': f'key of the peer {name}'} if apart else {}
+            name: {'peer_key': f'key of the peer {name}'}
+            if isolate_nodes
+            else {}
             for name in shape.nodes
         }
         await asyncio.gather(
             *(fleet.start_node(name, **key) for name, key in keys.items())
         )
         await fleet.apply()
-        await fleet.wait_connected(peers=not apart)
+        await fleet.wait_connected(peers=not isolate_nodes)
         yield fleet
--- a/tests/fleet/forever.py
+++ b/tests/fleet/forever.py
@@ -7,7 +7,7 @@
 
 
 def print_addresses(fleet: Fleet) -> None:
-    """Print where everything is, in the form of environment variables."""
+    """Print addresses and keys of the fleet as environment variables."""
     node = fleet.nodes[0]
     lines = {
         'RYELATCH_BASE_URL': f'{node.url}/v1',
@@ -25,7 +25,7 @@
 
 
 async def main() -> None:
-    """Run until a signal."""
+    """Run a fleet until ``SIGINT`` or ``SIGTERM``."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -1,4 +1,4 @@
-"""Nodes that place layers, over a stand-in for all that they share."""
+"""Runs placement controllers of nodes over a stand-in for the platform."""
 
 import asyncio
 import dataclasses
@@ -30,10 +30,13 @@
 
 @dataclasses.dataclass
 class FakePlatform:
-    """What all nodes of a test share.
+    """The platform that all nodes of a test share.
 
-    :param load_seconds: after which an order is carried out.
-    :param result: what engines answer to orders.
+    :param load_seconds: time until a replica has loaded its layers.
+    :param result: the result that replicas return for commands.
+    :param record: the placement lease.
+    :param commands: node, replica and fencing number of each command.
+    :param lose_writes: whether writes of the lease get no response.
     """
 
     load_seconds: float = 0.5
@@ -50,7 +53,10 @@
     lose_writes: bool = False
 
     async def write(self, lease: Lease, revision: int) -> LeaseRecord | None:
-        """Write the lease under a condition, and tell all nodes."""
+        """Write the lease if its revision matches, and notify all nodes.
+
+        :returns: the stored lease; ``None`` if the write is lost.
+        """
         if self.lose_writes:
             return None
         if revision != self.record.revision:
@@ -60,8 +66,12 @@
             controller.lease.apply_record(self.record)
         return self.record
 
-    def add_node(self, name: str, spread: float) -> PlacementController:
-        """Make the duty of one more node."""
+    def add_node(self, name: str, base_jitter: float) -> PlacementController:
+        """Add the placement controller of one more node.
+
+        :param base_jitter: seconds by which the node delays taking the lease
+            from another.
+        """
         clock = BootClock()
         log = LineLog(name, clock, len)
         configuration = ConfigurationView(log, clock, 5)
@@ -70,9 +80,9 @@
         view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
         commands = ReplicaCommands(
             place=self._make_place(name),
-            move=_refuse,
-            read_report=_report,
-            reach=_refuse,
+            move=_fail,
+            read_report=_read_report,
+            reach=_fail,
         )
         controller = PlacementController(
             log=log,
@@ -81,7 +91,7 @@
             replicas=view,
             commands=commands,
             lease=LeaseManager(
-                log, clock, LeaseStore(self.write), spread, name
+                log, clock, LeaseStore(self.write), base_jitter, name
             ),
         )
         controller.lease.apply_record(self.record)
@@ -89,7 +99,7 @@
         return controller
 
     def list_replicas(self, replicas: list[Replica]) -> None:
-        """Give all nodes a list."""
+        """Send the complete list of replicas to all nodes."""
         for controller in self.controllers:
             controller.replicas.replace(replicas, unanswered=NEVER)
             controller.wake(None)  # type: ignore[arg-type]
@@ -100,14 +110,14 @@
         ) -> CommandResult:
             self.commands.append((name, replica.name, fence))
             if self.result is CommandResult.BEGUN:
-                held = dataclasses.replace(replica, layers=layers)
+                loaded = dataclasses.replace(replica, layers=layers)
                 loop = asyncio.get_running_loop()
-                loop.call_later(self.load_seconds, self._finish, held)
+                loop.call_later(self.load_seconds, self._update, loaded)
             return self.result
 
         return place
 
-    def _finish(self, replica: Replica) -> None:
+    def _update(self, replica: Replica) -> None:
         for controller in self.controllers:
             controller.replicas.put(replica)
 
@@ -117,11 +127,11 @@
     return StoredObject(Metadata('main', 1), raw)
 
 
-async def _refuse(*_: object) -> Any:
+async def _fail(*_: object) -> Any:
     raise NotImplementedError
 
 
-async def _report(_: Replica) -> Report:
+async def _read_report(_: Replica) -> Report:
     return Report(sequence=3, busy=True, used=0, stalled={})
 
 
@@ -131,9 +141,9 @@
 
 @asynccontextmanager
 async def run_nodes(platform: FakePlatform, count: int) -> AsyncIterator[None]:
-    """Run the duty of some nodes."""
+    """Run the placement controllers of nodes, each with its own jitter."""
     for number in range(count):
-        platform.add_node(f'node-{number}', spread=0.1 + number * 0.1)
+        platform.add_node(f'node-{number}', base_jitter=0.1 + number * 0.1)
     for controller in platform.controllers:
         await controller.start()
     try:
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a fleet on this machine."""
+"""Starts and ends the processes of a fleet on this machine."""
 
 import asyncio
 import os
@@ -16,9 +16,10 @@
 
 @dataclass
 class Process:
-    """A running program.
+    """A process that was started.
 
-    :param log: what it wrote to standard error.
+    :param address: host and port on which it listens; empty until known.
+    :param log: lines of its standard error.
     """
 
     name: str
@@ -29,27 +30,30 @@
 
     @property
     def url(self) -> str:
-        """Its base URL."""
+        """The base URL of the process."""
         return f'http://{self.address}'
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process still runs."""
         if self.child.returncode is None:
             self.child.send_signal(number)
 
     async def kill(self) -> None:
-        """End it without warning."""
+        """End the process by ``SIGKILL``."""
         self.send(signal.SIGKILL)
         await self.child.wait()
 
     async def stop(self) -> int:
-        """Ask it to end, and wait; its exit code."""
+        """Send ``SIGTERM`` and wait for the end.
+
+        :returns: exit code.
+        """
         self.send(signal.SIGTERM)
         async with asyncio.timeout(_STOP_SECONDS):
             return await self.child.wait()
 
     def follow(self) -> None:
-        """Keep what it writes."""
+        """Collect the lines of standard error in the background."""
         self._reader = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
@@ -59,7 +63,7 @@
 
 
 async def spawn(name: str, command: Sequence[str]) -> Process:
-    """Start a program whose standard error is kept."""
+    """Start a program, and collect its standard error."""
     child = await asyncio.create_subprocess_exec(
         *command,
         stdout=asyncio.subprocess.PIPE,
@@ -79,7 +83,12 @@
     *arguments: str,
     port: int = 0,
 ) -> Process:
-    """Start a stand-in and wait until it listens."""
+    """Start a stand-in, and wait until it listens.
+
+    :param kind: name of its module in the package ``standins``.
+    :param port: port to listen on; 0 lets the system choose.
+    :raises RuntimeError: if it did not start.
+    """
     process = await spawn(
         name,
         [
@@ -92,7 +101,7 @@
         ],
     )
     if process.child.stdout is None:
-        raise RuntimeError(f'{name} has no output')
+        raise RuntimeError(f'{name} has no standard output')
     async with asyncio.timeout(_READY_SECONDS):
         line = await process.child.stdout.readline()
     if not line.startswith(b'READY'):
--- a/tests/fleet/running.py
+++ b/tests/fleet/running.py
@@ -1,7 +1,7 @@
-"""Runs a node in this process against stand-ins for store and replicas.
+"""Runs nodes in this process against stand-ins for store and replicas.
 
-The node runs as it does in a process of its own, with its real sockets; the
-store and the replicas are stand-ins on loopback.
+The nodes use the same code and real sockets as in a process of their own; the
+store and the replicas are stand-ins that listen on loopback.
 """
 
 import asyncio
@@ -25,12 +25,20 @@
 PLAIN_SERVICE = 'booking'
 KEY = 'ward-1-key'
 LAYERS = 8
-SETTLED_SECONDS = 3
+_SETTLING_SECONDS = 3
+"""Time after which nodes that started together have counted each other.
+
+They count several times after their start, the last time about then.
+"""
 
 
 @dataclass
 class RunningNode:
-    """A node, its stand-ins, and what it wrote."""
+    """A node with its stand-ins and its log.
+
+    :param lines: log lines of the node, decoded.
+    :param runners: servers of the stand-ins, to be stopped at the end.
+    """
 
     store: ObjectStore
     replicas: dict[str, ReplicaStandIn]
@@ -42,12 +50,12 @@
 
     @property
     def url(self) -> str:
-        """Where clients connect."""
+        """The base URL for clients."""
         return f'http://127.0.0.1:{self.server.front.port}'
 
     @property
     def server(self) -> RelayServer:
-        """The listening side of the node."""
+        """The server of the node, which owns its listening sockets."""
         return self.app.find('server', RelayServer)
 
     def count(self, name: str) -> int:
@@ -59,7 +67,7 @@
         return next(line for line in self.lines if line['name'] == name)
 
     async def add(self, replica: ReplicaStandIn) -> ReplicaStandIn:
-        """Start a replica and register it."""
+        """Start a replica, and register it at the store."""
         replica.store = self.store
         runner, port = await _serve(replica.make_app())
         replica.stop_listening = next(iter(runner.sites)).stop
@@ -74,14 +82,17 @@
     check: Callable[[], Any],
     seconds: float = 10,
 ) -> None:
-    """Wait until something holds."""
+    """Wait until a condition is true.
+
+    :raises TimeoutError: if it isn't within the given seconds.
+    """
     async with asyncio.timeout(seconds):
         while not check():
             await asyncio.sleep(0.01)
 
 
 def make_route(name: str, **changes: Any) -> dict[str, Any]:
-    """Write a route as operators do."""
+    """Make a route in the form in which operators write it."""
     return {
         'name': name,
         'host': 'city.example',
@@ -97,7 +108,7 @@
 
 
 def make_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Write a configuration as operators do."""
+    """Make a configuration in the form in which operators write it."""
     return {
         'version': version,
         'routes': [
@@ -138,14 +149,17 @@
 
 
 def make_plain(count: int = 2) -> list[ReplicaStandIn]:
-    """Make replicas of the plain service."""
+    """Make replicas of the non-model service."""
     return [
         ReplicaStandIn(f'b-{number}', PLAIN_SERVICE) for number in range(count)
     ]
 
 
 def make_model(*held: tuple[int, int] | None) -> list[ReplicaStandIn]:
-    """Make replicas of the model, each with the layers it holds."""
+    """Make replicas of the model.
+
+    :param held: layers that each holds: the first, and the one after the last.
+    """
     return [
         ReplicaStandIn(
             f'm-{number}',
@@ -165,7 +179,10 @@
     name: str,
     **changes: Any,
 ) -> AsyncIterator[RunningNode]:
-    """Start another node beside one, at the same store and replicas."""
+    """Run another node with the same store and replicas.
+
+    :param changes: start-up settings in which it differs from the first node.
+    """
     startup = node.startup._replace(name=name, **changes)
     peer = _make_node(node.store, node.replicas, startup, node.http)
     try:
@@ -180,7 +197,7 @@
     replicas: Iterable[ReplicaStandIn],
     count: int,
 ) -> AsyncIterator[list[RunningNode]]:
-    """Run some nodes at one store that know each other."""
+    """Run nodes with the same store that have counted each other."""
     async with contextlib.AsyncExitStack() as stack:
         first = await stack.enter_async_context(run_node(replicas))
         peers = [
@@ -190,10 +207,11 @@
         nodes = [first, *peers]
         names = [node.startup.name for node in nodes]
         await wait_until(
-            lambda: all(first.store.get('ryelatch-nodes', one) for one in names)
+            lambda: all(
+                first.store.get('ryelatch-nodes', name) for name in names
+            )
         )
-        # Nodes are counted some times after their start, the last time then.
-        await asyncio.sleep(SETTLED_SECONDS)
+        await asyncio.sleep(_SETTLING_SECONDS)
         yield nodes
 
 
@@ -203,7 +221,10 @@
     configuration: dict[str, Any] | None = None,
     **changes: Any,
 ) -> AsyncIterator[RunningNode]:
-    """Start a store, replicas and a node; end them in order."""
+    """Run a node with a store and replicas; stop the node first.
+
+    :param changes: start-up settings in which it differs from the default.
+    """
     store = ObjectStore()
     store.put('config', 'main', configuration or make_configuration())
     runner, port = await _serve(store.make_app())
@@ -218,8 +239,8 @@
             yield node
         finally:
             await node.app.stop()
-            for one in node.runners:
-                await one.cleanup()
+            for stand_in in node.runners:
+                await stand_in.cleanup()
 
 
 def _make_node(
@@ -250,9 +271,11 @@
     content: bytes = b'question',
     **headers: str,
 ) -> tuple[int, bytes, dict[str, str]]:
-    """Ask as a client does.
+    """Send a request to a node, and read the complete response.
 
-    :returns: status, body, headers in lower case.
+    :param identity: request identity, which the client chooses.
+    :param headers: further headers, with ``_`` in place of ``-``.
+    :returns: status, body, headers by name in lower case.
     """
     async with open_request(
         node,
@@ -276,7 +299,11 @@
     content: bytes = b'question',
     **headers: str,
 ) -> Any:
-    """Open a request as a client does."""
+    """Send a request to a node, for a caller that reads the response itself.
+
+    :param identity: request identity, which the client chooses.
+    :param headers: further headers, with ``_`` in place of ``-``.
+    """
     sent = {
         'Host': 'city.example',
         'X-Ryelatch-Request-Id': identity,
@@ -291,7 +318,10 @@
 
 
 def expect_events(count: int) -> bytes:
-    """Write the whole stream of a replica."""
+    """Make the complete event stream that a replica sends.
+
+    :param count: number of events.
+    """
     return b''.join(
         f'id: {number}\ndata: token {number}\n\n'.encode()
         for number in range(1, count + 1)
@@ -307,7 +337,10 @@
 
 
 def make_startup(store_port: int) -> RelayStartup:
-    """Make the settings of a node, with the store on a loopback port."""
+    """Make the start-up settings of a node.
+
+    :param store_port: loopback port on which the store listens.
+    """
     host = '127.0.0.1'
     return RelayStartup(
         name='node-a',
--- a/tests/fleet_tests/test_forever.py
+++ b/tests/fleet_tests/test_forever.py
@@ -1,4 +1,4 @@
-"""The fleet in the foreground, as ``make fleet`` runs it."""
+"""Tests of the fleet that ``make fleet`` runs in the foreground."""
 
 import signal
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def test_interrupt_leaves_no_process() -> None:
-    """A newcomer ends ``make fleet`` by Ctrl-C."""
+    """Processes of the fleet outlive ``make fleet`` after Ctrl-C."""
     running = subprocess.Popen(
         [sys.executable, '-m', 'fleet.forever'],
         cwd=_TESTS,
