--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,10 +1,9 @@
-"""Plays days with each mechanism taken out, one at a time.
+"""Simulates days without one mechanism of the product at a time.
 
-A mechanism is taken out on a scratch copy of the tree, by the value of a
-constant that makes it do nothing; the product has no switches for it. The
-command that plays a day is given by whoever runs this, as
-``--play 'COMMAND {day}'``; it runs in the copy and prints a line
-``worth 0.123 = ...``.
+The product has no switches for its mechanisms. So each is disabled in a copy of
+the source tree, mostly by a value of a constant with which it has no effect.
+The command that simulates a day is given as ``--play 'COMMAND {day}'``. It runs
+in the copy, and must print its benefit score as a line ``worth 0.123 = ...``.
 """
 
 import argparse
@@ -22,21 +21,22 @@
 ROOT = Path(__file__).parent.parent
 _CORE = 'packages/ryelatch-core/src/ryelatch_core/fleet'
 _RELAY = 'packages/ryelatch-node/src/ryelatch_node/relay'
-_WORTH = re.compile(r'^worth (-?[0-9.]+) =', re.MULTILINE)
+_SCORE = re.compile(r'^worth (-?[0-9.]+) =', re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What is taken out, and how.
+    """A mechanism of the product, and the change that disables it.
 
-    :param pattern: a regular expression for the text in force.
-    :param idle: the text in its place.
+    :param file: source file, relative to the root of the repository.
+    :param pattern: regular expression for the code to replace.
+    :param replacement: code that disables the mechanism.
     """
 
     name: str
     file: str
     pattern: str
-    idle: str
+    replacement: str
 
 
 MECHANISMS = (
@@ -65,16 +65,18 @@
         r'RETRY_FRACTION = .*',
         'RETRY_FRACTION = 1e9',
     ),
-    Mechanism('jitter', f'{_CORE}/_costs.py', r'_JITTER = .*', '_JITTER = 0.0'),
+    Mechanism(
+        'jitter', f'{_CORE}/_prices.py', r'_JITTER = .*', '_JITTER = 0.0'
+    ),
     Mechanism(
         'excess',
-        f'{_CORE}/_costs.py',
+        f'{_CORE}/_prices.py',
         r'EXCESS_WEIGHT = .*',
         'EXCESS_WEIGHT = 0.0',
     ),
     Mechanism(
         'slots price',
-        f'{_CORE}/_costs.py',
+        f'{_CORE}/_prices.py',
         r'SLOTS_SECONDS = .*',
         'SLOTS_SECONDS = 0.0',
     ),
@@ -121,56 +123,65 @@
 
 
 def _copy(mechanism: Mechanism, folder: Path) -> Path:
-    """Copy the tree without a mechanism."""
+    """Copy the source tree, and disable a mechanism in the copy."""
     copy = folder / mechanism.name.replace(' ', '-')
     ignored = shutil.ignore_patterns('.git', '.venv', '__pycache__')
     shutil.copytree(ROOT, copy, ignore=ignored)
     path = copy / mechanism.file
     changed, count = re.subn(
-        mechanism.pattern, mechanism.idle, path.read_text(), count=1
+        mechanism.pattern, mechanism.replacement, path.read_text(), count=1
     )
     if count != 1:
-        sys.exit(f'{mechanism.name}: {mechanism.pattern} not found')
+        sys.exit(f'{mechanism.name}: {mechanism.pattern} not found in its file')
     path.write_text(changed)
     return copy
 
 
-def _play(copy: Path, command: str, day: str) -> float:
-    """Play a day in a copy; its worth."""
+def _simulate(copy: Path, command: str, day: str) -> float:
+    """Simulate a day in a copy.
+
+    :returns: benefit score of the day.
+    """
     words = shlex.split(command.format(day=day))
-    played = subprocess.run(words, cwd=copy, capture_output=True, text=True)
-    found = _WORTH.search(played.stdout)
-    if not found:
-        sys.exit(f'{copy.name}, {day}: no worth in\n{played.stdout}')
-    return float(found[1])
+    finished = subprocess.run(words, cwd=copy, capture_output=True, text=True)
+    score = _SCORE.search(finished.stdout)
+    if not score:
+        sys.exit(
+            f'{copy.name}, {day}: no line "worth 0.123 = ..." in\n'
+            f'{finished.stdout}'
+        )
+    return float(score[1])
 
 
 def main() -> None:
-    """Print a table: worth of each day without each mechanism."""
+    """Print a table of the benefit scores by mechanism and day."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--play', required=True)
     parser.add_argument('--prepare', default='true')
     parser.add_argument('--folder', type=Path, default=None)
     parser.add_argument('--jobs', type=int, default=4)
     parser.add_argument('days', nargs='+')
-    given = parser.parse_args()
-    folder = Path(tempfile.mkdtemp(dir=given.folder))
-    copies = {one.name: _copy(one, folder) for one in MECHANISMS}
-    with futures.ThreadPoolExecutor(given.jobs) as pool:
+    options = parser.parse_args()
+    folder = Path(tempfile.mkdtemp(dir=options.folder))
+    copies = {
+        mechanism.name: _copy(mechanism, folder) for mechanism in MECHANISMS
+    }
+    with futures.ThreadPoolExecutor(options.jobs) as pool:
         for copy in copies.values():
-            subprocess.run(shlex.split(given.prepare), cwd=copy, check=True)
-        found = {
+            subprocess.run(shlex.split(options.prepare), cwd=copy, check=True)
+        simulations = {
             name: [
-                pool.submit(_play, copy, given.play, day) for day in given.days
+                pool.submit(_simulate, copy, options.play, day)
+                for day in options.days
             ]
             for name, copy in copies.items()
         }
-        print('| taken out |', ' | '.join(given.days), '| mean |')
-        print('| --- |', '--- | ' * (len(given.days) + 1))
-        for name, plays in found.items():
-            worths = [play.result() for play in plays]
-            told = ' | '.join(f'{one:.3f}' for one in worths)
-            print(f'| {name} | {told} | {statistics.mean(worths):.3f} |')
+        print('| taken out |', ' | '.join(options.days), '| mean |')
+        print('| --- |', '--- | ' * (len(options.days) + 1))
+        for name, pending in simulations.items():
+            scores = [simulation.result() for simulation in pending]
+            cells = ' | '.join(f'{score:.3f}' for score in scores)
+            print(f'| {name} | {cells} | {statistics.mean(scores):.3f} |')
 
 
 if __name__ == '__main__':
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,4 +1,8 @@
-"""Claims a second through three nodes, and the store's writes for them."""
+"""Measures bookings with claims: requests per second, and store writes.
+
+Three nodes take the bookings. One with an idempotency key is claimed at the
+store before it is sent to a service; the others are not.
+"""
 
 import asyncio
 import time
@@ -14,19 +18,23 @@
 async def measure(
     fleet: Fleet, callers: int, *, keyed: bool
 ) -> dict[str, float]:
-    """Book for a while with a number of callers."""
+    """Measure bookings by clients that send one after the other.
+
+    :param callers: number of clients.
+    :param keyed: whether bookings have an idempotency key.
+    """
     end = time.monotonic() + _SECONDS
     times: list[float] = []
 
     async def call(number: int) -> None:
-        turn = 0
+        sent = 0
         while time.monotonic() < end:
-            turn += 1
-            name = f'{callers}-{number}-{turn}-{keyed}'
-            begun = time.monotonic()
+            sent += 1
+            name = f'{callers}-{number}-{sent}-{keyed}'
+            started = time.monotonic()
             node = fleet.nodes[number % len(fleet.nodes)]
             await book(fleet, node, name, name if keyed else '')
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - started)
 
     before = await fleet.inspect(fleet.platform, 'counts')
     await asyncio.gather(*(call(number) for number in range(callers)))
@@ -43,7 +51,7 @@
 
 
 async def main() -> None:
-    """Measure keyed and other bookings."""
+    """Measure bookings with and without an idempotency key."""
     async with run_fleet(make_shape(replicas=1)) as fleet:
         rows = [
             await measure(fleet, callers, keyed=keyed)
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What all benchmarks share: processor time, tables, results."""
+"""Helpers of all benchmarks: resource usage, percentiles, tables, results."""
 
 import json
 import os
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What a process has used so far.
+    """The resource usage of a process.
 
-    :param cpu: seconds of processor time.
-    :param memory: resident bytes.
-    :param traffic: bytes read and written.
+    :param cpu: seconds of processor time since its start.
+    :param memory: resident bytes at present.
+    :param traffic: bytes read and written since its start.
     """
 
     cpu: float
@@ -31,7 +31,7 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Read what a process has used."""
+    """Read the resource usage of a process from ``/proc``."""
     folder = Path('/proc') / str(pid)
     fields = (folder / 'stat').read_text().rsplit(')', 1)[1].split()
     pages = int((folder / 'statm').read_text().split()[1])
@@ -54,7 +54,7 @@
 
 
 def print_table(title: str, rows: Iterable[Mapping[str, Any]]) -> None:
-    """Print rows of the same fields."""
+    """Print rows that have the same fields as a table."""
     listed = list(rows)
     print(f'\n{title}')
     names = list(listed[0])
@@ -70,7 +70,7 @@
 
 
 def save_result(name: str, found: Mapping[str, Any]) -> None:
-    """Keep a result for the docs and print it as the last line."""
+    """Write a result to its file for the docs, and print it as JSON."""
     RESULTS.mkdir(exist_ok=True)
     text = json.dumps(found, indent=1, sort_keys=True)
     (RESULTS / f'{name}.json').write_text(f'{text}\n')
@@ -78,7 +78,7 @@
 
 
 def load_result(name: str) -> dict[str, Any]:
-    """Read a result that was kept."""
+    """Read the result that a benchmark has written."""
     found: dict[str, Any] = json.loads((RESULTS / f'{name}.json').read_text())
     return found
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,7 +1,7 @@
 """Writes a copy of a deployment's file with some of its figures changed.
 
-A decision that was tuned for one deployment shows on copies of it: other
-answers, links, mixes and accelerators.
+Copies with other answer lengths, links, request mixes and accelerators show
+whether a decision that was tuned for one deployment holds for others.
 
 ``python benchmarks/copies.py FILE COPY --scale pipe_mbps=0.25 --swap l4=v100``
 """
@@ -14,11 +14,11 @@
 
 _Value = TypeVar('_Value')
 
-_HOLDER = '\0'
+_PLACEHOLDER = '\0'
 
 
 def scale(text: str, name: str, factor: float) -> str:
-    """Multiply all numbers that stand behind a name.
+    """Multiply all numbers that are assigned to a name.
 
     :raises ValueError: if there are none.
     """
@@ -32,21 +32,21 @@
 
 
 def swap(text: str, one: str, other: str) -> str:
-    """Exchange two names wherever they stand in quotes.
+    """Exchange two names wherever they occur in quotes.
 
-    :raises ValueError: if one of them doesn't.
+    :raises ValueError: if one of them does not occur.
     """
     quoted = [f'"{name}"' for name in (one, other)]
     for name in quoted:
         if name not in text:
             raise ValueError(f'nothing is named {name}')
     first, second = quoted
-    held = text.replace(first, _HOLDER).replace(second, first)
-    return held.replace(_HOLDER, second)
+    swapped = text.replace(first, _PLACEHOLDER).replace(second, first)
+    return swapped.replace(_PLACEHOLDER, second)
 
 
 def _multiply(number: str, factor: float) -> str:
-    """Multiply a number; a whole one stays whole."""
+    """Multiply a number; an integer stays an integer."""
     product = float(number) * factor
     return f'{product:.6g}' if '.' in number else str(round(product))
 
@@ -62,7 +62,7 @@
 
 
 def main() -> None:
-    """Write the copy."""
+    """Write the copy of a file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('file', type=Path)
     parser.add_argument('copy', type=Path)
--- a/benchmarks/fencing.py
+++ b/benchmarks/fencing.py
@@ -1,8 +1,9 @@
-"""Orders taken in error when lease holders are paused.
+"""Counts commands that an engine executes in error after a holder's pause.
 
-A holder takes a lease and, before its order is read by the engine, is paused
-for a random time. Another takes the lease when it lapses and orders too. An
-order that an engine takes after one of a later holder is taken in error.
+A node takes the lease and is paused for a random time before the engine reads
+its command. Another node takes the lease when it expires, and sends a command
+too. The first command is executed in error if the engine reads it after the
+second one.
 """
 
 import random
@@ -16,50 +17,54 @@
 )
 
 _TRIALS = 20_000
-_MEAN_PAUSE = 4.0
-_DETECT = 0.25
+_MEAN_PAUSE_SECONDS = 4.0
+_MAX_DETECTION_SECONDS = 0.25
 
 
-def run_trial(chance: random.Random) -> dict[str, bool]:
-    """Run one; for each way, whether the paused order was taken in error."""
-    before_check = chance.expovariate(1 / _MEAN_PAUSE)
-    after_check = chance.expovariate(1 / _MEAN_PAUSE)
+def run_trial(random_source: random.Random) -> dict[str, bool]:
+    """Simulate one pause.
+
+    :returns: whether the paused holder's command was executed in error, by the
+        method that guards against it.
+    """
+    before_check = random_source.expovariate(1 / _MEAN_PAUSE_SECONDS)
+    after_check = random_source.expovariate(1 / _MEAN_PAUSE_SECONDS)
     checked = before_check
     arrives = before_check + after_check
-    taken_over = TTL_SECONDS + chance.uniform(0, _DETECT)
-    second_plain = taken_over + chance.uniform(0, 0.1)
-    second_waits = taken_over + COMMAND_TIMEOUT_SECONDS
-    in_time = may_send_command(0, -COMMAND_TIMEOUT_SECONDS, checked)
-    proved = checked < taken_over
-    on_time = after_check <= COMMAND_TIMEOUT_SECONDS
+    taken_over = TTL_SECONDS + random_source.uniform(0, _MAX_DETECTION_SECONDS)
+    second_immediate = taken_over + random_source.uniform(0, 0.1)
+    second_delayed = taken_over + COMMAND_TIMEOUT_SECONDS
+    may_send = may_send_command(0, -COMMAND_TIMEOUT_SECONDS, checked)
+    still_held = checked < taken_over
+    arrives_in_time = after_check <= COMMAND_TIMEOUT_SECONDS
     return {
-        'lease only, no check': arrives > second_plain,
-        'read at dispatch': proved and arrives > second_plain,
-        'read, order in time or not at all': in_time
-        and proved
-        and on_time
-        and arrives > second_waits,
-        'read, order after any pause': in_time
-        and proved
-        and arrives > second_waits,
+        'lease only, no check': arrives > second_immediate,
+        'read at dispatch': still_held and arrives > second_immediate,
+        'read, order in time or not at all': may_send
+        and still_held
+        and arrives_in_time
+        and arrives > second_delayed,
+        'read, order after any pause': may_send
+        and still_held
+        and arrives > second_delayed,
         'engine checks the fencing number': False,
     }
 
 
 def main() -> None:
-    """Count over many trials."""
-    chance = random.Random(3)
-    trials = [run_trial(chance) for _ in range(_TRIALS)]
+    """Count errors by method over many trials."""
+    random_source = random.Random(3)
+    trials = [run_trial(random_source) for _ in range(_TRIALS)]
     rows = [
         {
-            'way': way,
-            'in_error': sum(trial[way] for trial in trials),
+            'way': method,
+            'in_error': sum(trial[method] for trial in trials),
             'trials': _TRIALS,
         }
-        for way in trials[0]
+        for method in trials[0]
     ]
     print_table('Orders taken in error, pauses of 4 s on average', rows)
-    save_result('fencing', {'mean_pause_s': _MEAN_PAUSE, 'rows': rows})
+    save_result('fencing', {'mean_pause_s': _MEAN_PAUSE_SECONDS, 'rows': rows})
 
 
 if __name__ == '__main__':
--- a/benchmarks/fleet_decisions.py
+++ b/benchmarks/fleet_decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of plans and paths, by the number of replicas."""
+"""Measures processor time of placement and path choice by fleet size."""
 
 import dataclasses
 import random
@@ -20,49 +20,55 @@
 
 
 def make_zones(zones: int) -> list[Replica]:
-    """Make zones of thirteen empty replicas each."""
+    """Make replicas without layers, thirteen in each zone."""
     return [
-        Replica(f'{zone}-{place}', 'm', f'{zone}-{place}:1', f'z{zone}', kind)
+        Replica(f'{zone}-{number}', 'm', f'{zone}-{number}:1', f'z{zone}', kind)
         for zone in range(zones)
-        for place, kind in enumerate(_KINDS)
+        for number, kind in enumerate(_KINDS)
     ]
 
 
 def time_call(call: Callable[[], object]) -> float:
-    """Measure the least processor time of a call, in milliseconds."""
+    """Measure the smallest processor time of several calls.
+
+    :returns: milliseconds of one call.
+    """
     times = []
     for _ in range(_ROUNDS):
-        begun = time.process_time()
+        started = time.process_time()
         call()
-        times.append(time.process_time() - begun)
+        times.append(time.process_time() - started)
     return min(times) * 1000
 
 
 def measure(zones: int) -> dict[str, float]:
-    """Measure one size of fleet."""
+    """Measure a fleet of the given number of zones.
+
+    A repair is planned after the loss of one replica.
+    """
     empty = make_zones(zones)
     moves = {
         move.replica.name: move for move in plan_moves(empty, TYPICAL_MODEL)
     }
     fleet = [
-        dataclasses.replace(one, layers=moves[one.name].layers)
-        if one.name in moves
-        else one
-        for one in empty
+        dataclasses.replace(replica, layers=moves[replica.name].layers)
+        if replica.name in moves
+        else replica
+        for replica in empty
     ]
-    lost = fleet[1:]
+    remaining = fleet[1:]
     query = PathQuery(TYPICAL_MODEL, 'z0', 775, 216, random.random)
     return {
         'replicas': len(fleet),
         'first_plan_ms': time_call(lambda: plan_moves(empty, TYPICAL_MODEL)),
         'whole_plan_ms': time_call(lambda: plan_moves(fleet, TYPICAL_MODEL)),
-        'repair_ms': time_call(lambda: plan_moves(lost, TYPICAL_MODEL)),
+        'repair_ms': time_call(lambda: plan_moves(remaining, TYPICAL_MODEL)),
         'path_ms': time_call(lambda: choose_path(fleet, query)),
     }
 
 
 def main() -> None:
-    """Measure fleets of today and of the size aimed at."""
+    """Measure fleets of several sizes, up to 3900 replicas."""
     rows = [measure(zones) for zones in (3, 8, 30, 300)]
     print_table('Plans and paths by replicas', rows)
     save_result('fleet_decisions', {'rows': rows})
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,4 +1,4 @@
-"""What nodes use when no caller is there."""
+"""Measures the resource usage of nodes without any requests."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 
 async def main() -> None:
-    """Measure eight idle nodes."""
+    """Measure idle nodes, and the store calls that they make."""
     async with run_fleet(make_shape(nodes=_NODES)) as fleet:
         await asyncio.sleep(3)
         before = [read_usage(node.child.pid) for node in fleet.nodes]
-        calls = await fleet.inspect(fleet.platform, 'counts')
+        calls_before = await fleet.inspect(fleet.platform, 'counts')
         await asyncio.sleep(_SECONDS)
         after = [read_usage(node.child.pid) for node in fleet.nodes]
-        more = await fleet.inspect(fleet.platform, 'counts')
+        calls_after = await fleet.inspect(fleet.platform, 'counts')
     rows = [
         {
             'node': node.name,
@@ -29,10 +29,11 @@
         for node, early, late in zip(fleet.nodes, before, after, strict=True)
     ]
     counts = {
-        name: (more[name] - calls.get(name, 0)) / _SECONDS for name in more
+        name: (calls_after[name] - calls_before.get(name, 0)) / _SECONDS
+        for name in calls_after
     }
     print_table(f'{_NODES} idle nodes with 6 engines', rows)
-    print('store calls a second, all nodes:', counts)
+    print('store calls per second of all nodes:', counts)
     save_result(
         'idle',
         {
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,8 @@
-"""Streams of completions, timed, cheap enough not to be the limit."""
+"""A client that times streamed completions.
+
+It counts tokens without decoding events, so that it takes little processor time
+and does not limit the throughput that is measured.
+"""
 
 import asyncio
 import json
@@ -10,7 +14,12 @@
 
 @dataclass
 class Timing:
-    """When the pieces of one answer came, in monotonic seconds."""
+    """The times of one streamed answer.
+
+    :param started: monotonic seconds at which the request was sent.
+    :param arrivals: monotonic seconds at which chunks with tokens arrived.
+    :param done: whether the final ``[DONE]`` event was received.
+    """
 
     started: float
     status: int = 0
@@ -20,12 +29,12 @@
 
     @property
     def first(self) -> float:
-        """Seconds to the first token."""
+        """Seconds to the first token; 0 if there was none."""
         return self.arrivals[0] - self.started if self.arrivals else 0
 
     @property
     def gaps(self) -> list[float]:
-        """Seconds between arrivals."""
+        """Seconds between successive arrivals."""
         pairs = zip(self.arrivals, self.arrivals[1:], strict=False)
         return [after - before for before, after in pairs]
 
@@ -37,7 +46,7 @@
     prompt: str,
     tokens: int,
 ) -> Timing:
-    """Ask for one completion and time it."""
+    """Request one completion, and time its answer."""
     body = {
         'model': 'textile-care',
         'prompt': prompt,
@@ -70,7 +79,7 @@
     tokens: int,
     key: str = 'schools-key',
 ) -> list[Timing]:
-    """Ask for many completions at once."""
+    """Request several completions at the same time."""
     return await asyncio.gather(
         *(
             stream(http, url, key, f'{index:04} linen', tokens)
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,4 +1,4 @@
-"""The node's own cost, against the same call made straight to the engine."""
+"""Compares requests through a node with requests directly to the engine."""
 
 import asyncio
 
@@ -12,23 +12,25 @@
 
 
 async def measure(fleet: Fleet, streams: int) -> dict[str, float]:
-    """Measure a number of streams, straight and through the node."""
+    """Measure a number of streams, directly and through the node."""
     node = fleet.nodes[0]
     engine = fleet.processes['engine-0a']
     direct = await stream_many(fleet.http, engine.url, streams, _TOKENS)
     before = read_usage(node.child.pid).cpu
     routed = await stream_many(fleet.http, node.url, streams, _TOKENS)
-    used = read_usage(node.child.pid).cpu - before
+    cpu_seconds = read_usage(node.child.pid).cpu - before
     gaps = {
-        name: find_percentiles([gap for one in found for gap in one.gaps])
-        for name, found in (('direct', direct), ('routed', routed))
+        name: find_percentiles(
+            [gap for timing in timings for gap in timing.gaps]
+        )
+        for name, timings in (('direct', direct), ('routed', routed))
     }
     first = {
-        name: find_percentiles([one.first for one in found])
-        for name, found in (('direct', direct), ('routed', routed))
+        name: find_percentiles([timing.first for timing in timings])
+        for name, timings in (('direct', direct), ('routed', routed))
     }
-    tokens = sum(one.tokens for one in routed)
-    assert all(one.done for one in routed)
+    tokens = sum(timing.tokens for timing in routed)
+    assert all(timing.done for timing in routed)
     return {
         'streams': streams,
         'direct_gap_ms': gaps['direct']['p50'] * 1000,
@@ -37,12 +39,12 @@
         'added_gap_ms': (gaps['routed']['p50'] - gaps['direct']['p50']) * 1000,
         'added_first_ms': (first['routed']['p50'] - first['direct']['p50'])
         * 1000,
-        'cpu_us_per_token': used / tokens * 1e6,
+        'cpu_us_per_token': cpu_seconds / tokens * 1e6,
     }
 
 
 async def main() -> None:
-    """Measure at three numbers of streams."""
+    """Measure with three numbers of streams."""
     shape = make_shape(
         stages=1, replicas=1, nodes=1, options=('--step-ms', str(_STEP_MS))
     )
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,4 +1,7 @@
-"""Goodput at one, two, four and ten times the slots of the fleet."""
+"""Measures goodput with one, two, four and ten times as many clients as slots.
+
+Goodput counts the tokens of answers that complete within the measured time.
+"""
 
 import asyncio
 import time
@@ -12,18 +15,22 @@
 
 _SLOTS = 48
 _SECONDS = 6.0
-_WARM = 2.0
+_WARM_UP_SECONDS = 2.0
 _TOKENS = 30
-_WAIT = 2
+_QUEUE_WAIT_SECONDS = 2
 
 
-def _narrow(tree: dict[str, Any]) -> None:
+def _limit_slots(tree: dict[str, Any]) -> None:
     tree['models']['textile-care']['slots'] = _SLOTS
-    tree['policy'] |= {'queue': 100, 'queue_wait': _WAIT, 'concurrent': 2000}
+    tree['policy'] |= {
+        'queue': 100,
+        'queue_wait': _QUEUE_WAIT_SECONDS,
+        'concurrent': 2000,
+    }
 
 
 async def _call(
-    fleet: Fleet, number: int, end: float, seen: Counter[str]
+    fleet: Fleet, number: int, end: float, counts: Counter[str]
 ) -> None:
     node = fleet.nodes[number % len(fleet.nodes)]
     account = ('schools', 'dispatch', 'ward-1', 'clinic-le-loi')[number % 4]
@@ -33,32 +40,35 @@
         )
         now = time.monotonic()
         if timing.status != 200:
-            seen['refused'] += 1
+            counts['refused'] += 1
             await asyncio.sleep(1 + number % 10 / 10)
         elif end - _SECONDS < now < end:
-            seen['good'] += timing.tokens * timing.done
+            counts['good'] += timing.tokens * timing.done
 
 
 async def measure(fleet: Fleet, times: int) -> dict[str, Any]:
-    """Measure at a multiple of the slots."""
-    end = time.monotonic() + _WARM + _SECONDS
-    seen: Counter[str] = Counter()
+    """Measure with a multiple of the number of slots.
+
+    :param times: clients per slot; each sends one request after the other.
+    """
+    end = time.monotonic() + _WARM_UP_SECONDS + _SECONDS
+    counts: Counter[str] = Counter()
     calls = [
-        asyncio.create_task(_call(fleet, number, end, seen))
+        asyncio.create_task(_call(fleet, number, end, counts))
         for number in range(_SLOTS * times)
     ]
     await asyncio.gather(*calls)
     return {
         'times_capacity': times,
-        'tokens_per_s': seen['good'] / _SECONDS,
-        'refused': seen['refused'],
+        'tokens_per_s': counts['good'] / _SECONDS,
+        'refused': counts['refused'],
     }
 
 
 async def main() -> None:
-    """Measure all multiples."""
+    """Measure all multiples, and relate them to the best one."""
     shape = make_shape(
-        tweak=_narrow, options=('--step-ms', '10', '--position-us', '25')
+        tweak=_limit_slots, options=('--step-ms', '10', '--position-us', '25')
     )
     async with run_fleet(shape) as fleet:
         rows = [await measure(fleet, times) for times in (1, 2, 4, 10)]
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Draws the plots that the docs show, from results that were kept."""
+"""Draws the plots of the docs from the results of benchmarks."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 def draw_bars(name: str, title: str, bars: dict[str, float]) -> None:
-    """Draw one value for each label."""
+    """Draw a horizontal bar for each label."""
     figure, axes = plt.subplots(figsize=(7, 0.5 + 0.45 * len(bars)))
     axes.barh(list(bars), list(bars.values()))
     axes.invert_yaxis()
@@ -28,10 +28,10 @@
     seconds: list[float],
     lines: dict[str, list[float]],
 ) -> None:
-    """Draw shares over time."""
+    """Draw fractions, from 0 to 1, over time."""
     figure, axes = plt.subplots(figsize=(7, 3))
-    for label, shares in lines.items():
-        axes.step(seconds, shares, where='post', label=label)
+    for label, fractions in lines.items():
+        axes.step(seconds, fractions, where='post', label=label)
     axes.set_ylim(0, 1.05)
     axes.set_xlabel('seconds')
     axes.set_title(title)
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Draw all."""
+    """Draw all plots."""
     _PLOTS.mkdir(exist_ok=True)
     draw_bars(
         'recovery',
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,9 @@
-"""The gap that a caller sees at each failure, with and without recovery.
+"""Measures the gap in answers at each failure, with and without recovery.
 
-Without recovery means: the answer is given up at the failure, and the caller
-asks again from the start at once; its gap is the time until the token that
-follows the last one it had. It is reckoned from the pace of the same answers
-before the failure, not from a run of its own.
+Without recovery, the answer would fail, and the client would send the request
+again at once. Its gap would be the time until it receives the token after the
+last one of the first attempt. That time is computed from the token rate of the
+same answers before the failure, not measured in a run of its own.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 _RUNS = 12
 _TOKENS = 120
-_AT = 40
+_TOKENS_BEFORE = 40
 _KEY = 'ward-1-key'
 
 Failure = Callable[[Fleet, list[str]], Awaitable[object]]
@@ -32,12 +32,12 @@
 
 
 async def freeze_stage(fleet: Fleet, chain: list[str]) -> None:
-    """Stop the process of the middle stage without ending it."""
+    """Suspend the process of the middle stage by ``SIGSTOP``."""
     fleet.processes[chain[1]].send(signal.SIGSTOP)
 
 
 async def silence_links(fleet: Fleet, chain: list[str]) -> None:
-    """Let the open connections of the middle stage go silent."""
+    """Stop all traffic on the open connections of the middle stage."""
     await fleet.silence(fleet.processes[chain[1]])
 
 
@@ -48,25 +48,26 @@
 
 
 async def cut_zone(fleet: Fleet, chain: list[str]) -> None:
-    """Kill all engines of the availability zone of the middle stage."""
+    """Kill all engines in the availability zone of the middle stage."""
     zone = fleet.vms[chain[1]]['zone']
     names = [spec.name for spec in fleet.shape.engines if spec.zone == zone]
     await asyncio.gather(*(fleet.processes[name].kill() for name in names))
 
 
 async def stop_store(fleet: Fleet, chain: list[str]) -> None:
-    """Let the platform's store go out."""
+    """Make the platform's store unavailable."""
     await fleet.control(fleet.platform, 'faults', {'outage': True})
 
 
 async def measure(failure: Failure) -> dict[str, float]:
-    """Bring a failure about in the middle of some answers.
+    """Cause a failure in the middle of answers.
 
-    :returns: seconds of the longest gap with recovery, and without.
+    :returns: percentiles of the longest gaps with recovery, and the gap
+        without it, in seconds.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = [Heard() for _ in range(_RUNS)]
-        asking = [
+        answers = [Heard() for _ in range(_RUNS)]
+        requests = [
             asyncio.create_task(
                 ask(
                     fleet.http,
@@ -74,60 +75,83 @@
                     _KEY,
                     f'question {index}',
                     _TOKENS,
-                    one,
+                    answer,
                 )
             )
-            for index, one in enumerate(heard)
+            for index, answer in enumerate(answers)
         ]
         await fleet.wait_until(
-            lambda: all(len(one.times) > _AT for one in heard)
+            lambda: all(
+                len(answer.times) > _TOKENS_BEFORE for answer in answers
+            )
+        )
+        chain = await find_chain(
+            fleet, answers[0].headers['x-ryelatch-request']
         )
-        chain = await find_chain(fleet, heard[0].headers['x-ryelatch-request'])
         await failure(fleet, chain)
-        await asyncio.gather(*asking)
-        assert all(one.done for one in heard)
-        gaps = [one.longest_gap for one in heard]
-        pace = min((one.times[_AT] - one.started) / _AT for one in heard)
-    return {'gap': find_percentiles(gaps), 'restart': pace * _AT}
+        await asyncio.gather(*requests)
+        assert all(answer.done for answer in answers)
+        gaps = [answer.longest_gap for answer in answers]
+        token_seconds = min(
+            (answer.times[_TOKENS_BEFORE] - answer.started) / _TOKENS_BEFORE
+            for answer in answers
+        )
+    return {
+        'gap': find_percentiles(gaps),
+        'restart': token_seconds * _TOKENS_BEFORE,
+    }
 
 
 async def measure_node_killed() -> dict[str, float]:
-    """Kill a node; its callers ask again through another at once."""
+    """Kill a node; its clients send their requests to another one at once.
+
+    :returns: percentiles of the time until the token after the last one of the
+        first attempt, in seconds.
+    """
     gaps = []
     async with run_fleet(make_shape(nodes=2)) as fleet:
-        heard = [Heard() for _ in range(_RUNS)]
+        answers = [Heard() for _ in range(_RUNS)]
 
         async def call(index: int) -> None:
-            one = heard[index]
+            answer = answers[index]
             try:
                 await ask(
-                    fleet.http, fleet.nodes[0], _KEY, f'q{index}', _TOKENS, one
+                    fleet.http,
+                    fleet.nodes[0],
+                    _KEY,
+                    f'q{index}',
+                    _TOKENS,
+                    answer,
                 )
             except (OSError, aiohttp.ClientError):
                 broken = time.monotonic()
-                again = Heard()
-                had = len(one.times)
+                second_answer = Heard()
+                received = len(answer.times)
                 await ask(
                     fleet.http,
                     fleet.nodes[1],
                     _KEY,
                     f'q{index}',
                     _TOKENS,
-                    again,
+                    second_answer,
+                )
+                gaps.append(
+                    second_answer.times[min(received, _TOKENS - 1)] - broken
                 )
-                gaps.append(again.times[min(had, _TOKENS - 1)] - broken)
 
-        asking = [asyncio.create_task(call(index)) for index in range(_RUNS)]
+        requests = [asyncio.create_task(call(index)) for index in range(_RUNS)]
         await fleet.wait_until(
-            lambda: all(len(one.times) > _AT for one in heard)
+            lambda: all(
+                len(answer.times) > _TOKENS_BEFORE for answer in answers
+            )
         )
         await fleet.nodes[0].kill()
-        await asyncio.gather(*asking, return_exceptions=True)
+        await asyncio.gather(*requests, return_exceptions=True)
     return {'gap': find_percentiles(gaps)}
 
 
 async def main() -> None:
-    """Measure each failure."""
+    """Measure the gap at each failure."""
     rows = []
     for failure in (
         kill_stage,
--- a/benchmarks/run_all.py
+++ b/benchmarks/run_all.py
@@ -1,4 +1,4 @@
-"""Runs all benchmarks one after the other and draws the plots."""
+"""Runs all benchmarks one after the other, then draws the plots."""
 
 import subprocess
 import sys
@@ -21,7 +21,10 @@
 
 
 def main() -> int:
-    """Run them; the exit code is that of the worst."""
+    """Run all benchmarks.
+
+    :returns: the largest of their exit codes.
+    """
     codes = [
         subprocess.run(
             [sys.executable, str(_HERE / f'{name}.py')], check=False
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,4 +1,7 @@
-"""Small accounts in a surge of large ones, over eight nodes."""
+"""Measures small client accounts during a surge of large ones.
+
+The requests of all accounts arrive over several nodes.
+"""
 
 import asyncio
 import itertools
@@ -34,7 +37,12 @@
 
 @dataclass
 class Run:
-    """What one run gave."""
+    """The measurements of one run.
+
+    :param small: answers of the small accounts.
+    :param tokens: tokens of the large accounts in the measured time.
+    :param refused: refused requests of the large accounts.
+    """
 
     small: list[Timing] = field(default_factory=list)
     tokens: Counter[str] = field(default_factory=Counter)
@@ -43,10 +51,14 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """How a run differs.
-
-    :param nodes: over how many nodes the surge comes in.
-    :param key: key of a caller, by its account.
+    """The conditions of a run.
+
+    :param surge: number of clients of the large accounts.
+    :param nodes: number of nodes that receive the surge.
+    :param key: maps the name of an account to the key that its clients use.
+    :param tweak: changes the settings.
+    :param isolate_nodes: whether nodes refuse each other's connections.
+    :param kill: whether an engine is killed during the run.
     """
 
     name: str
@@ -58,7 +70,7 @@
     kill: bool = False
 
 
-def _weigh(tree: dict[str, Any]) -> None:
+def _set_weights(tree: dict[str, Any]) -> None:
     tree['models']['textile-care']['slots'] = _SLOTS
     tree['policy'] |= {'queue': 2000, 'queue_wait': 60, 'concurrent': 2000}
     accounts = tree['accounts']['large']['accounts']
@@ -69,7 +81,7 @@
 
 
 def _limit_requests(tree: dict[str, Any]) -> None:
-    """Only a limit on requests: no shares, room for everybody's limit."""
+    """Limit requests only: with this many slots, shares have no effect."""
     tree['models']['textile-care']['slots'] = 100_000
     tree['policy']['concurrent'] = 2000
 
@@ -96,7 +108,7 @@
 ) -> None:
     account = list(_LARGE)[number % 2]
     node = fleet.nodes[number // 2 % scenario.nodes]
-    middle = end - _SECONDS * 0.6
+    measured_from = end - _SECONDS * 0.6
     while time.monotonic() < end:
         timing = await stream(
             fleet.http,
@@ -109,15 +121,15 @@
             run.refused[account] += 1
             await asyncio.sleep(1)
         run.tokens[account] += sum(
-            1 for arrival in timing.arrivals if middle < arrival < end
+            1 for arrival in timing.arrivals if measured_from < arrival < end
         )
 
 
 async def measure(scenario: Scenario) -> dict[str, Any]:
-    """Run one scenario."""
+    """Measure one scenario."""
 
     def tweak(tree: dict[str, Any]) -> None:
-        _weigh(tree)
+        _set_weights(tree)
         scenario.tweak(tree)
 
     shape = make_shape(
@@ -144,12 +156,16 @@
         for call in calls:
             call.cancel()
         await asyncio.gather(*calls, return_exceptions=True)
-    first = find_percentiles([one.first for one in run.small if one.arrivals])
-    gaps = find_percentiles([gap for one in run.small for gap in one.gaps])
+    first = find_percentiles(
+        [timing.first for timing in run.small if timing.arrivals]
+    )
+    gaps = find_percentiles(
+        [gap for timing in run.small for gap in timing.gaps]
+    )
     total = sum(run.tokens.values())
     return {
         'scenario': scenario.name,
-        'small_answers': sum(one.done for one in run.small),
+        'small_answers': sum(timing.done for timing in run.small),
         'first_p50': first['p50'],
         'first_p95': first['p95'],
         'first_p99': first['p99'],
@@ -176,12 +192,12 @@
 
 
 async def main() -> None:
-    """Run all scenarios and compare with the first."""
+    """Measure all scenarios, and relate them to the one without a surge."""
     rows = [await measure(scenario) for scenario in _SCENARIOS]
-    calm = rows[0]
+    baseline = rows[0]
     for row in rows:
         for name in ('first_p50', 'first_p95', 'first_p99', 'gap_p99'):
-            row[f'{name}_ratio'] = row[name] / calm[name]
+            row[f'{name}_ratio'] = row[name] / baseline[name]
     print_table('Small accounts while large ones surge', rows)
     save_result('shares', {'slots': _SLOTS, 'surge': _SURGE, 'rows': rows})
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,8 @@
-"""Slopes from which the capacity page is worked out (``make slopes``)."""
+"""Measures the slopes from which the capacity page is computed.
+
+A slope is a resource usage per unit of load, such as processor time per token.
+``make slopes`` runs this.
+"""
 
 import asyncio
 import itertools
@@ -22,11 +26,14 @@
 from ryelatch_core.shares import Demand, FairQueue, Limits, Ticket, cap_accounts
 
 _STEP = ('--step-ms', '40')
-_WIDE = Limits(10_000, 10_000)
+_UNLIMITED = Limits(10_000, 10_000)
 
 
 def time_call(work: Callable[[], Any], times: int) -> float:
-    """Time a call; seconds for one."""
+    """Time a call that is repeated.
+
+    :returns: seconds of one call.
+    """
     started = time.perf_counter()
     for _ in range(times):
         work()
@@ -34,29 +41,29 @@
 
 
 async def measure_cpu(fleet: Fleet, streams: int, tokens: int) -> float:
-    """Measure processor seconds of the first node for some streams."""
+    """Measure processor seconds that the first node uses for streams."""
     node = fleet.nodes[0]
     await stream_many(fleet.http, node.url, 4, 2)
     before = read_usage(node.child.pid).cpu
-    found = await stream_many(fleet.http, node.url, streams, tokens)
-    assert all(one.done for one in found)
+    timings = await stream_many(fleet.http, node.url, streams, tokens)
+    assert all(timing.done for timing in timings)
     return read_usage(node.child.pid).cpu - before
 
 
 async def measure_requests() -> dict[str, float]:
-    """Processor time per request and per token, and memory per stream."""
+    """Measure processor time per request and token, and memory per stream."""
     shape = make_shape(stages=1, replicas=1, nodes=1, options=_STEP)
     async with run_fleet(shape) as fleet:
         pid = fleet.nodes[0].child.pid
         short = sum([await measure_cpu(fleet, 100, 1) for _ in range(5)])
         long = await measure_cpu(fleet, 128, 200)
         before = read_usage(pid).memory
-        asking = asyncio.create_task(
+        request_task = asyncio.create_task(
             stream_many(fleet.http, fleet.nodes[0].url, 400, 60)
         )
         await asyncio.sleep(2)
         held = read_usage(pid).memory - before
-        await asking
+        await request_task
     per_request = short / 500
     return {
         'cpu_us_per_request': per_request * 1e6,
@@ -66,21 +73,26 @@
 
 
 async def measure_stages(per_token: float) -> dict[str, float]:
-    """Processor time per further stage step, by size of the activation."""
-    found = {}
+    """Measure processor time per step of each stage after the first.
+
+    Engines return either a handle of the activation or its bytes.
+
+    :param per_token: processor microseconds per token with a single stage.
+    """
+    slopes = {}
     for name, size in (('handle', 8), ('bytes', 16_384)):
         options = (*_STEP, '--activation-bytes', str(size))
         shape = make_shape(stages=3, replicas=1, nodes=1, options=options)
         async with run_fleet(shape) as fleet:
-            used = await measure_cpu(fleet, 64, 100)
-        found[f'cpu_us_per_step_{name}'] = (
-            used / (64 * 100) * 1e6 - per_token
+            cpu_seconds = await measure_cpu(fleet, 64, 100)
+        slopes[f'cpu_us_per_step_{name}'] = (
+            cpu_seconds / (64 * 100) * 1e6 - per_token
         ) / 2
-    return found
+    return slopes
 
 
 async def measure_memory() -> dict[str, float]:
-    """Memory per client account, per engine linked, per plain upstream."""
+    """Measure memory per client account and per connected engine."""
 
     def add_accounts(tree: dict[str, Any]) -> None:
         tree['accounts'] |= {
@@ -108,14 +120,14 @@
 
 
 async def measure_peers() -> dict[str, float]:
-    """Bytes to a peer a second, and bytes of a settings change."""
+    """Measure bytes per second to a peer, and bytes of a settings change."""
     async with run_fleet(make_shape(nodes=4, replicas=1)) as fleet:
         await asyncio.sleep(1)
         before = [await fleet.status(node) for node in fleet.nodes]
-        calls = await fleet.inspect(fleet.platform, 'counts')
+        calls_before = await fleet.inspect(fleet.platform, 'counts')
         await asyncio.sleep(10)
         after = [await fleet.status(node) for node in fleet.nodes]
-        more = await fleet.inspect(fleet.platform, 'counts')
+        calls_after = await fleet.inspect(fleet.platform, 'counts')
     sent = sum(
         late['peer_bytes'] - early['peer_bytes']
         for early, late in zip(before, after, strict=True)
@@ -126,32 +138,42 @@
         'bytes_per_peer_s': sent / (4 * 3) / 10,
         'bytes_per_changed_part': sum(map(len, blobs.values())),
         'bytes_index_per_part': len(f'accounts/clinic-{0:04}') + 44,
-        'store_calls_per_watcher_s': (sum(more.values()) - sum(calls.values()))
+        'store_calls_per_watcher_s': (
+            sum(calls_after.values()) - sum(calls_before.values())
+        )
         / 10
         / 4,
     }
 
 
 def measure_decisions() -> list[dict[str, Any]]:
-    """Processor time of each decision by the size of its input."""
+    """Measure processor time of each decision by the size of its input."""
     by_engines = [
-        row for engines in (12, 120, 1200, 4000) for row in _by_engines(engines)
+        row
+        for engines in (12, 120, 1200, 4000)
+        for row in _measure_by_engines(engines)
     ]
     by_accounts = [
-        row for accounts in (10, 100, 1000) for row in _by_accounts(accounts)
+        row
+        for accounts in (10, 100, 1000)
+        for row in _measure_by_accounts(accounts)
     ]
     return by_engines + by_accounts
 
 
-def _by_engines(engines: int) -> list[dict[str, Any]]:
-    offers = [
-        Candidate(f'e{index}', f'z{index % 4}', *_cut(index), '1', index % 7)
+def _measure_by_engines(engines: int) -> list[dict[str, Any]]:
+    candidates = [
+        Candidate(
+            f'e{index}', f'z{index % 4}', *_find_layers(index), '1', index % 7
+        )
         for index in range(engines)
     ]
     zones = [f'z{index}' for index in range(4)]
     hops = dict.fromkeys(itertools.permutations(zones, 2), 0.01)
-    holdings = [Holding(f'e{index}', *_cut(index)) for index in range(engines)]
-    choose = partial(choose_chain, offers, 12, '1', hops)
+    holdings = [
+        Holding(f'e{index}', *_find_layers(index)) for index in range(engines)
+    ]
+    choose = partial(choose_chain, candidates, 12, '1', hops)
     repair = partial(plan_repair, holdings, 12)
     return [
         _row('choose_chain', 'engines', engines, time_call(choose, 20)),
@@ -159,7 +181,7 @@
     ]
 
 
-def _by_accounts(accounts: int) -> list[dict[str, Any]]:
+def _measure_by_accounts(accounts: int) -> list[dict[str, Any]]:
     demands = {
         f'a{index}': Demand(1, {f'n{node}': 3 for node in range(8)})
         for index in range(accounts)
@@ -176,7 +198,8 @@
     ]
 
 
-def _cut(index: int) -> tuple[int, int]:
+def _find_layers(index: int) -> tuple[int, int]:
+    """Return the layers of an engine: the first, and the one after the last."""
     stage = index % 3
     return stage * 4, stage * 4 + 4
 
@@ -189,7 +212,7 @@
     queue = FairQueue(1)
     for index in range(accounts * 3):
         ticket = Ticket(index, f'a{index % accounts}', 1, 1, 1e9)
-        queue.offer(ticket, _WIDE)
+        queue.offer(ticket, _UNLIMITED)
 
     def turn() -> None:
         taken = queue.take(0)
@@ -200,7 +223,7 @@
 
 
 async def main() -> None:
-    """Measure all slopes."""
+    """Measure all slopes and decisions."""
     slopes = await measure_requests()
     slopes |= await measure_stages(slopes['cpu_us_per_token'])
     slopes |= await measure_memory()
--- a/tests/benchmarks/test_copies.py
+++ b/tests/benchmarks/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of deployments change what they say, and nothing else."""
+"""Tests of copies of deployments with changed figures."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 
 
 def test_number_is_scaled() -> None:
-    """A whole number stays one."""
+    """An integer stays an integer."""
     assert 'mbps = 3250 }' in _copies.scale(_TEXT, 'mbps', 0.25)
     assert 'count = 6 }' in _copies.scale(_TEXT, 'count', 2)
 
 
 def test_names_are_exchanged() -> None:
-    """Both keep their other figures."""
+    """Other figures beside the names stay as they are."""
     changed = _copies.swap(_TEXT, 'big', 'small')
     assert '"small", mbps' in changed
     assert '"big", count' in changed
@@ -23,12 +23,12 @@
 
 @pytest.mark.parametrize('name', ['none', 'kind'])
 def test_unknown_number_is_refused(name: str) -> None:
-    """A copy that changes nothing would pass for one that does."""
+    """A mistyped name would give a copy without any change."""
     with pytest.raises(ValueError, match=name):
         _copies.scale(_TEXT, name, 2)
 
 
 def test_unknown_name_is_refused() -> None:
-    """The same for an exchange."""
+    """A mistyped name would give a copy without an exchange."""
     with pytest.raises(ValueError, match='none'):
         _copies.swap(_TEXT, 'big', 'none')
--- a/tests/benchmarks/test_losses.py
+++ b/tests/benchmarks/test_losses.py
@@ -1,4 +1,4 @@
-"""Why requests were not served in time, as nodes' lines tell."""
+"""Tests of the causes of losses that are found in the logs of nodes."""
 
 import json
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 def _find(*texts: str) -> list[str]:
-    attempts = _losses.gather(_losses.read_lines(texts))
+    attempts = _losses.collect_attempts(_losses.read_lines(texts))
     return [
         loss.cause for loss in _losses.find_losses(attempts, _OBJECTIVE, _PAUSE)
     ]
@@ -38,7 +38,7 @@
 
 
 def test_refusal_has_its_reason() -> None:
-    """Refused before it was sent anywhere, so no line tells its end."""
+    """A refused request has no line of its completion."""
     refused = _write('exchange-refused', 'r-1', reason='all paths are full')
     assert _find(refused) == ['refused: all paths are full']
 
@@ -48,20 +48,20 @@
 
 
 def test_stalled_stream_is_late() -> None:
-    """Its first event came in time, and a later one did not."""
+    """The first event arrived in time, and a later one did not."""
     stalled = _write('stream-stalled', 'r-1', pause=0.4)
     assert _find(*_serve('r-1', 0.1, stalled)) == ['late: stream stalled']
 
 
 def test_noticed_pause_is_late() -> None:
-    """The longest pause stands in the line of its end."""
+    """The line of the completion holds the longest pause."""
     ended = _write('exchange-ended', 'r-1', first=0.1, seconds=2, pause=0.3)
     sent = _write('exchange-sent', 'r-1', path=[])
     assert _find(sent, ended) == ['late: crowded or slow path']
 
 
 def test_lost_replica_is_the_cause() -> None:
-    """What follows from the loss is not its cause."""
+    """A stall that follows from the loss of a replica is not the cause."""
     lost = _write('exchange-failed', 'r-1', outcome='lost', reason='reset')
     stalled = _write('stream-stalled', 'r-1', pause=0.4)
     assert _find(*_serve('r-1', 0.9, lost, stalled)) == ['late: replica lost']
