--- a/docs/capacity.py
+++ b/docs/capacity.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the capacity page, from slopes that were measured."""
+"""Computes the figures of the capacity page from measured slopes."""
 
 import json
 from dataclasses import dataclass
@@ -26,8 +26,15 @@
 
 
 @dataclass(frozen=True)
-class Share:
-    """What one node carries at the size of the users' letter."""
+class NodeLoad:
+    """The load of one node at the peak of the target fleet.
+
+    :param requests: requests per second.
+    :param tokens: tokens per second.
+    :param streams: streams that are open at the same time.
+    :param engines: engines that the node is connected to.
+    :param peers: nodes that the node is connected to.
+    """
 
     requests: float
     tokens: float
@@ -36,10 +43,10 @@
     peers: int
 
 
-def share_node() -> Share:
-    """Divide the peak evenly over the nodes."""
+def compute_node_load() -> NodeLoad:
+    """Divide the peak load evenly over the nodes."""
     seconds = TOKENS / REQUESTS * GAP_SECONDS
-    return Share(
+    return NodeLoad(
         REQUESTS / NODES,
         TOKENS / NODES,
         REQUESTS * seconds / NODES,
@@ -49,57 +56,59 @@
 
 
 def load(name: str) -> dict[str, Any]:
-    """Read what a benchmark recorded."""
-    found: dict[str, Any] = json.loads((_RESULTS / f'{name}.json').read_text())
-    return found
+    """Read the result of a benchmark."""
+    result: dict[str, Any] = json.loads((_RESULTS / f'{name}.json').read_text())
+    return result
 
 
 def compute_figures() -> dict[str, float]:
-    """Work out the figures of the page."""
+    """Compute the figures of the page, by their name in the template."""
     slopes = load('slopes')['slopes']
     idle = load('idle')
-    share = share_node()
-    further = (STAGES - 1) * share.tokens * _MICRO
-    handle = slopes['cpu_us_per_step_handle']
-    raw = slopes['cpu_us_per_step_bytes']
-    cpu_requests = share.requests * slopes['cpu_us_per_request'] * _MICRO
-    cpu_tokens = share.tokens * slopes['cpu_us_per_token'] * _MICRO
-    memory_path = share.streams * slopes['memory_b_per_stream']
-    memory_links = share.engines * slopes['memory_b_per_engine']
+    node = compute_node_load()
+    later_steps = (STAGES - 1) * node.tokens * _MICRO
+    cpu_handle = slopes['cpu_us_per_step_handle']
+    cpu_bytes = slopes['cpu_us_per_step_bytes']
+    cpu_requests = node.requests * slopes['cpu_us_per_request'] * _MICRO
+    cpu_tokens = node.tokens * slopes['cpu_us_per_token'] * _MICRO
+    memory_streams = node.streams * slopes['memory_b_per_stream']
+    memory_engines = node.engines * slopes['memory_b_per_engine']
     memory_accounts = ACCOUNTS * slopes['memory_b_per_account']
     base = idle['memory_mb'] * _MEGA
     changes = CHANGES_PER_DAY / _DAY
     watchers = 2 * ZONES
     return {
-        'requests': share.requests,
-        'tokens': share.tokens,
-        'streams': share.streams,
-        'engines': share.engines,
-        'peers': share.peers,
+        'requests': node.requests,
+        'tokens': node.tokens,
+        'streams': node.streams,
+        'engines': node.engines,
+        'peers': node.peers,
         'cpu_requests': cpu_requests,
         'cpu_tokens': cpu_tokens,
-        'cpu_handle': further * handle,
-        'cpu_bytes': further * raw,
-        'cpu_all_handle': cpu_requests + cpu_tokens + further * handle,
-        'cpu_all_bytes': cpu_requests + cpu_tokens + further * raw,
+        'cpu_handle': later_steps * cpu_handle,
+        'cpu_bytes': later_steps * cpu_bytes,
+        'cpu_all_handle': cpu_requests + cpu_tokens + later_steps * cpu_handle,
+        'cpu_all_bytes': cpu_requests + cpu_tokens + later_steps * cpu_bytes,
         'relayed_mb_s': 2
         * (STAGES - 1)
-        * share.tokens
+        * node.tokens
         * ACTIVATION_BYTES
         / _MEGA,
-        'memory_streams_mb': memory_path / _MEGA,
-        'memory_links_mb': memory_links / _MEGA,
+        'memory_streams_mb': memory_streams / _MEGA,
+        'memory_links_mb': memory_engines / _MEGA,
         'memory_accounts_mb': memory_accounts / _MEGA,
-        'memory_all_mb': (base + memory_path + memory_links + memory_accounts)
+        'memory_all_mb': (
+            base + memory_streams + memory_engines + memory_accounts
+        )
         / _MEGA,
         'memory_every_engine_mb': ACCELERATORS
         * slopes['memory_b_per_engine']
         / _MEGA,
-        'beat_b_s': share.peers * slopes['bytes_per_peer_s'],
-        'demand_kb_s': share.peers * share.streams * 24 / 1000,
+        'beat_b_s': node.peers * slopes['bytes_per_peer_s'],
+        'demand_kb_s': node.peers * node.streams * 24 / 1000,
         'changes_s': changes,
         'change_kb_s': changes
-        * share.peers
+        * node.peers
         * (slopes['bytes_per_changed_part'] + 100)
         / 1000,
         'index_kb': ACCOUNTS * slopes['bytes_index_per_part'] / 1000,
@@ -117,18 +126,19 @@
 
 
 def render_capacity() -> str:
-    """Write the page."""
+    """Render the capacity page from its template."""
     template = (Path(__file__).parent / 'capacity.template.md').read_text()
     figures = {
         name: f'{figure:,.3g}' if figure < 1000 else f'{figure:,.0f}'
         for name, figure in compute_figures().items()
     }
-    rows = load('slopes')
+    results = load('slopes')
     slopes = '\n'.join(
-        f'| {name} | {value:,.4g} |' for name, value in rows['slopes'].items()
+        f'| {name} | {value:,.4g} |'
+        for name, value in results['slopes'].items()
     )
     decisions = '\n'.join(
         f'| {row["decision"]} | {row["size"]} {row["by"]} | {row["us"]:,.4g} |'
-        for row in rows['decisions']
+        for row in results['decisions']
     )
     return template.format(**figures, slopes=slopes, decisions_table=decisions)
--- a/docs/conf.py
+++ b/docs/conf.py
@@ -1,4 +1,4 @@
-"""How the docs are built."""
+"""Configuration of Sphinx for these docs."""
 
 project = 'ryelatch'
 extensions = ['myst_parser']
--- a/docs/generate.py
+++ b/docs/generate.py
@@ -1,7 +1,7 @@
-"""Writes the pages that come from code and measurements.
+"""Generates the pages that are derived from code and measurements.
 
-Run without arguments to write them, or with ``--check`` to tell whether they
-are as they would be written.
+Without arguments, it writes the pages. With ``--check``, it reports pages that
+differ from what would be written, and exits with 1 if there are any.
 """
 
 import sys
@@ -20,7 +20,7 @@
 
 
 def render_events() -> str:
-    """Write the catalogue of events."""
+    """Render the catalogue of events."""
     rows = [
         f'| RL{kind.number} | {kind.name} | {kind.level.value} | {kind.text} '
         f'| {kind.action} |'
@@ -36,7 +36,7 @@
 
 
 def render_settings() -> str:
-    """Write the reference of both settings files."""
+    """Render the reference of both settings files."""
     return '\n'.join(
         [
             '# Settings reference',
@@ -83,21 +83,27 @@
 
 
 def _find_description(entry: dict[str, Any]) -> str:
-    inner = [entry, *entry.get('anyOf', ())]
-    found = [one['description'] for one in inner if 'description' in one]
-    return found[0] if found else ''
+    schemas = [entry, *entry.get('anyOf', ())]
+    descriptions = [
+        schema['description'] for schema in schemas if 'description' in schema
+    ]
+    return descriptions[0] if descriptions else ''
 
 
 def render_proofs() -> str:
-    """Write what must always hold, and the test that shows it."""
+    """Render the promises, with the tests and mechanisms that guard them."""
     groups = yaml.safe_load((_ROOT / 'tests' / 'guards.yaml').read_text())
-    reds = load('guards')
-    tables = [_render_group(group, reds) for group in groups]
+    failures = load('guards')
+    tables = [_render_group(group, failures) for group in groups]
     template = (_DOCS / 'proofs.template.md').read_text()
     return template.replace('TABLES', '\n'.join(tables))
 
 
-def _render_group(group: dict[str, Any], reds: dict[str, str]) -> str:
+def _render_group(group: dict[str, Any], failures: dict[str, str]) -> str:
+    """Render the table of one promise.
+
+    :param failures: for each test, how it failed without its mechanism.
+    """
     lines = [
         f'## {group["promise"]}',
         '',
@@ -105,18 +111,18 @@
         '| - | - | - | - | - |',
     ]
     for row in group['rows']:
-        red = reds.get(row['test'], '').replace('|', '\\|')
+        failure = failures.get(row['test'], '').replace('|', '\\|')
         file = row['file'].split('/src/')[1]
         lines.append(
             f'| {row["failure"]} | `{row["test"]}` | `{file}` '
-            f'| {f"`{red}`" if red else "not seen"} '
-            f'| {"yes" if red else "green only"} |'
+            f'| {f"`{failure}`" if failure else "not seen"} '
+            f'| {"yes" if failure else "green only"} |'
         )
     return '\n'.join([*lines, ''])
 
 
 def render_measurements() -> str:
-    """Write the tables of all benchmarks that have run."""
+    """Render the results of all benchmarks that have been run."""
     lines = [
         '# Measurements',
         '',
@@ -127,30 +133,30 @@
     for name, (title, tables) in _MEASURED.items():
         if not (_ROOT / 'benchmarks' / 'results' / f'{name}.json').exists():
             continue
-        found = load(name)
+        result = load(name)
         lines += ['', f'## {title}', '', f'`benchmarks/{name}.py`']
         for table in tables:
-            rows = found[table] if table else [found]
+            rows = result[table] if table else [result]
             lines += ['', *_render_rows(rows)]
     return '\n'.join([*lines, ''])
 
 
 def _render_rows(rows: list[dict[str, Any]] | dict[str, Any]) -> list[str]:
-    listed = rows if isinstance(rows, list) else [rows]
+    row_list = rows if isinstance(rows, list) else [rows]
     names = [
-        name for name, cell in listed[0].items() if not isinstance(cell, dict)
+        name for name, cell in row_list[0].items() if not isinstance(cell, dict)
     ]
     return [
         f'| {" | ".join(names)} |',
         f'|{" - |" * len(names)}',
         *(
-            f'| {" | ".join(_show(row[name]) for name in names)} |'
-            for row in listed
+            f'| {" | ".join(_format(row[name]) for name in names)} |'
+            for row in row_list
         ),
     ]
 
 
-def _show(cell: Any) -> str:
+def _format(cell: Any) -> str:
     if cell is None:
         return '-'
     return f'{cell:.4g}' if isinstance(cell, float) else str(cell)
@@ -181,7 +187,10 @@
 
 
 def main() -> int:
-    """Write or check all pages."""
+    """Write or check all pages.
+
+    :returns: exit code: 1 if a page that was checked is out of date.
+    """
     stale = []
     for name, render in _PAGES.items():
         path = _DOCS / name
@@ -191,7 +200,7 @@
         elif not path.exists() or path.read_text() != text:
             stale.append(name)
     if stale:
-        print(f'stale, run docs/generate.py: {", ".join(stale)}')
+        print(f'pages out of date, run docs/generate.py: {", ".join(stale)}')
     return 1 if stale else 0
 
 
--- a/tests/core_fleet.py
+++ b/tests/core_fleet.py
@@ -1,4 +1,7 @@
-"""A typical model and fleet for tests of placement and path choice."""
+"""A typical model and fleet for tests of placement and path choice.
+
+The figures are those of a model of 80 layers on three kinds of accelerators.
+"""
 
 import random
 
@@ -36,7 +39,7 @@
 
 
 def make_fleet() -> list[Replica]:
-    """Make the replicas of three zones; none holds layers."""
+    """Make the replicas of three zones, without any layers."""
     return [
         Replica(
             f'{zone}-{kind}-{number}',
@@ -54,14 +57,21 @@
 def make_replica(
     name: str, first: int, end: int, zone: str = 'zone-a', kind: str = 'a100'
 ) -> Replica:
-    """Make a replica that holds layers."""
+    """Make a replica that holds layers.
+
+    :param end: the layer after the last that it holds.
+    """
     return Replica(
         name, 'model', f'{name}:80', zone, kind, LayerRange(first, end), 1
     )
 
 
 def make_query(seed: int = 1, **changes: object) -> PathQuery:
-    """Make the query of a path for a typical request."""
+    """Make a path query for a typical request.
+
+    :param seed: seed of the random samples.
+    :param changes: fields that differ from those of a typical request.
+    """
     rng = random.Random(seed)
     fields: dict[str, object] = {
         'profile': TYPICAL_MODEL,
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages say what the code does."""
+"""Tests that the pages agree with the code, the tests and the examples."""
 
 import re
 import subprocess
@@ -37,13 +37,13 @@
 
 
 def test_generated_pages_are_fresh() -> None:
-    made = subprocess.run(
+    checked = subprocess.run(
         [sys.executable, str(_DOCS / 'generate.py'), '--check'],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert made.returncode == 0, made.stdout
+    assert checked.returncode == 0, checked.stdout
 
 
 def test_proofs_name_tests_that_exist() -> None:
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -210,7 +210,7 @@
         """Send the list of VMs to the platform."""
         await self.control(self.platform, 'vms', list(self.vms.values()))
 
-    async def forget(self, name: str) -> None:
+    async def remove_vm(self, name: str) -> None:
         """Remove a VM from the platform's list."""
         self.vms.pop(name, None)
         await self.publish_vms()
