--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,7 +1,7 @@
 """Measures bookings with claims: requests per second, and store writes.
 
-Three nodes take the bookings. One with an idempotency key is claimed at the
-store before it is sent to a service; the others are not.
+Three nodes take the bookings. Those with an idempotency key are claimed at the
+store before they are sent to a service; the others are not.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 
 
 async def measure(
-    fleet: Fleet, callers: int, *, keyed: bool
+    fleet: Fleet, clients: int, *, keyed: bool
 ) -> dict[str, float]:
     """Measure bookings by clients that send one after the other.
 
-    :param callers: number of clients.
+    :param clients: number of clients.
     :param keyed: whether bookings have an idempotency key.
     """
     end = time.monotonic() + _SECONDS
@@ -30,18 +30,18 @@
         sent = 0
         while time.monotonic() < end:
             sent += 1
-            name = f'{callers}-{number}-{sent}-{keyed}'
+            name = f'{clients}-{number}-{sent}-{keyed}'
             started = time.monotonic()
             node = fleet.nodes[number % len(fleet.nodes)]
             await book(fleet, node, name, name if keyed else '')
             times.append(time.monotonic() - started)
 
     before = await fleet.inspect(fleet.platform, 'counts')
-    await asyncio.gather(*(call(number) for number in range(callers)))
+    await asyncio.gather(*(call(number) for number in range(clients)))
     after = await fleet.inspect(fleet.platform, 'counts')
     writes = after.get('PUT objects', 0) - before.get('PUT objects', 0)
     return {
-        'callers': callers,
+        'callers': clients,
         'keyed': keyed,
         'requests_per_s': len(times) / _SECONDS,
         'writes_per_request': writes / len(times),
@@ -54,8 +54,8 @@
     """Measure bookings with and without an idempotency key."""
     async with run_fleet(make_shape(replicas=1)) as fleet:
         rows = [
-            await measure(fleet, callers, keyed=keyed)
-            for callers in (1, 32)
+            await measure(fleet, clients, keyed=keyed)
+            for clients in (1, 32)
             for keyed in (False, True)
         ]
         assert set((await count_runs(fleet)).values()) == {1}
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,4 +1,4 @@
-"""Measures small client accounts during a surge of large ones.
+"""Measures how small client accounts are served during a surge of large ones.
 
 The requests of all accounts arrive over several nodes.
 """
