--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -12,7 +12,7 @@
 from ryelatch_core.pipeline import Holding, Move, plan_repair
 from ryelatch_core.settings import Model, Startup
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.control._keeper import LeaseManager
+from ryelatch_node.control._lease_manager import LeaseManager
 from ryelatch_node.peers import Peers
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams import EngineLink, Upstreams
--- a/packages/ryelatch-node/src/ryelatch_node/front/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_model.py
@@ -25,7 +25,7 @@
 from ryelatch_node.front import _body as bodies
 from ryelatch_node.front import _prompt as prompts
 from ryelatch_node.front import _reply as replies
-from ryelatch_node.front._caller import find_account
+from ryelatch_node.front._authentication import find_account
 from ryelatch_node.front._errors import CallerError
 from ryelatch_node.front._meter import Meter
 
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_non_model.py
@@ -20,11 +20,11 @@
 from ryelatch_node.admission import Admission
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front._body import read_body
-from ryelatch_node.front._caller import find_account
+from ryelatch_node.front._authentication import find_account
 from ryelatch_node.front._errors import CallerError, refuse
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import Endpoint
-from ryelatch_node.plain import (
+from ryelatch_node.non_model import (
     Answer,
     Call,
     Claim,
@@ -33,8 +33,8 @@
     Forwarder,
     RecordState,
 )
-from ryelatch_node.plain._claims import fingerprint_call, make_claim_key
-from ryelatch_node.plain._forward import clean_headers, is_idempotent
+from ryelatch_node.non_model._claims import fingerprint_call, make_claim_key
+from ryelatch_node.non_model._forward import clean_headers, is_idempotent
 from ryelatch_node.upstreams import Upstreams
 
 _KEY_HEADER = 'idempotency-key'
--- a/packages/ryelatch-node/src/ryelatch_node/plain/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/__init__.py
@@ -3,7 +3,7 @@
 Calls that are not idempotent run at most once per idempotency key.
 """
 
-from ryelatch_node.plain._claims import (
+from ryelatch_node.non_model._claims import (
     Claim,
     ClaimError,
     Claims,
@@ -11,7 +11,7 @@
     RecordState,
     setup,
 )
-from ryelatch_node.plain._forward import Answer, Call, Forwarder
+from ryelatch_node.non_model._forward import Answer, Call, Forwarder
 
 __all__ = [
     'Answer',
--- a/packages/ryelatch-node/src/ryelatch_node/news/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/__init__.py
@@ -1,13 +1,13 @@
 """Shares the store's changes among nodes, so that few of them watch it."""
 
-from ryelatch_node.news._frames import Change, PermitReply, PermitRequest
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._frames import Change, PermitReply, PermitRequest
+from ryelatch_node.peer_sync._connection import (
     REQUEST_ERRORS,
     PeerConnection,
     connect_to_peer,
 )
-from ryelatch_node.news._memory import PeerCutOff, StoreHealth, StoreUpdate
-from ryelatch_node.news._service import PeerSync, setup
+from ryelatch_node.peer_sync._watch_cache import PeerCutOff, StoreHealth, StoreUpdate
+from ryelatch_node.peer_sync._service import PeerSync, setup
 
 __all__ = [
     'REQUEST_ERRORS',
--- a/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
@@ -9,20 +9,20 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     BootstrapReply,
     ListReply,
     ListRequest,
     unpack,
 )
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
     REQUEST_ERRORS,
     Dial,
     connect_to_peer,
 )
-from ryelatch_node.news._memory import StoreUpdate
+from ryelatch_node.peer_sync._watch_cache import StoreUpdate
 
 LIST_SECONDS = 0.7
 """Longest wait for all objects of a kind, which may be two megabytes."""
--- a/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
@@ -16,8 +16,8 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import BootstrapMessage, BootstrapReply
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._frames import BootstrapMessage, BootstrapReply
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
     REQUEST_ERRORS,
     Dial,
--- a/packages/ryelatch-node/src/ryelatch_node/news/_line.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_connection.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryelatch_node.news._frames import encode, read_body
+from ryelatch_node.peer_sync._frames import encode, read_body
 
 CONNECT_SECONDS = 0.3
 """Longest wait for a connection to a peer; within a region it takes 2 ms."""
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -11,7 +11,7 @@
 from ryelatch_core.events import UsageTracker
 from ryelatch_core.kernel import Clock, cancel_task
 from ryelatch_core.membership import NEVER
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     BootstrapReply,
     ListReply,
@@ -23,14 +23,14 @@
     encode,
     read_body,
 )
-from ryelatch_node.news._line import REQUEST_ERRORS
-from ryelatch_node.news._memory import (
+from ryelatch_node.peer_sync._connection import REQUEST_ERRORS
+from ryelatch_node.peer_sync._watch_cache import (
     STORE_HEALTHY,
     UNKNOWN_AGE_SECONDS,
     StoreHealth,
     WatchCache,
 )
-from ryelatch_node.news._rests import COOLDOWN_SECONDS
+from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS
 
 _AnyRequest: TypeAlias = (
     WatchRequest | PermitRequest | BootstrapMessage | ListRequest
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -15,28 +15,28 @@
     shares_watches,
     watches_for_others,
 )
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     Change,
     WatchReply,
     WatchRequest,
     unpack,
 )
-from ryelatch_node.news._greeter import Bootstrapper
-from ryelatch_node.news._introduction import BootstrapClient
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._bootstrapper import Bootstrapper
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
     REQUEST_ERRORS,
     Dial,
     PeerConnection,
     connect_to_peer,
 )
-from ryelatch_node.news._memory import (
+from ryelatch_node.peer_sync._watch_cache import (
     PeerCutOff,
     StoreUpdate,
     WatchCache,
 )
-from ryelatch_node.news._rests import COOLDOWN_SECONDS, PeerCooldowns
-from ryelatch_node.news._server import PeerServer
+from ryelatch_node.peer_sync._cooldowns import COOLDOWN_SECONDS, PeerCooldowns
+from ryelatch_node.peer_sync._server import PeerServer
 from ryelatch_node.ports import Address, RelayStartup
 
 REPLY_SECONDS = 0.4
--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.membership import NEVER
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     MAX_FRAME_BYTES,
     Change,
     ListReply,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_commands.py
@@ -7,8 +7,8 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.fleet import LayerRange, Move, Replica
 from ryelatch_core.kernel import Clock
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty._lease import LeaseManager
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.placement._lease import LeaseManager
 from ryelatch_node.ports import CommandResult, ReplicaCommands
 
 LOAD_MARGIN_SECONDS = 2.0
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
@@ -17,14 +17,14 @@
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_node.beliefs import (
+from ryelatch_node.views import (
     ConfigurationView,
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import BASE_JITTER_SECONDS, LeaseManager
-from ryelatch_node.duty._orders import CommandSender
-from ryelatch_node.duty._timing import PlanTiming
+from ryelatch_node.placement._lease import BASE_JITTER_SECONDS, LeaseManager
+from ryelatch_node.placement._commands import CommandSender
+from ryelatch_node.placement._timing import PlanTiming
 from ryelatch_node.ports import (
     CommandResult,
     LeaseStore,
--- a/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
@@ -1,7 +1,7 @@
 """Interfaces between a relaying node and the platform it runs on."""
 
 from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
-from ryelatch_node.ports._orders import (
+from ryelatch_node.ports._commands import (
     CommandResult,
     LoadedLayers,
     MoveResult,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -8,7 +8,7 @@
 from ryelatch_core.routing import Route, RoutingTable, choose_service
 from ryelatch_node.ports import RequestMetadata
 from ryelatch_node.relay._exchange import AdmittedRequest
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 MAX_DENIAL_AGE_SECONDS = 2.9
 """Age of the configuration up to which requests are answered 401 or 404.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_context.py
@@ -14,10 +14,10 @@
 )
 from ryelatch_core.kernel import Clock
 from ryelatch_core.retries import RetryBudget
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.ports import HeaderCodec, RelayStartup, ReplicaCommands
 from ryelatch_node.quarantine import Quarantine
-from ryelatch_node.relay._reach import CrashChecks
+from ryelatch_node.relay._crash_checks import CrashChecks
 from ryelatch_node.relay._slow_replicas import SlowReplicaChecks
 from ryelatch_node.relay._upstream import Upstreams
 from ryelatch_node.throttle import Throttle
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from ryelatch_node.relay._stream import LiveStream
 
 LEAVING_SECONDS = 1.0
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -13,7 +13,7 @@
     list_first_replicas,
     misses_layers,
 )
-from ryelatch_node.relay._ends import record_stream_crash
+from ryelatch_node.relay._crashes import record_stream_crash
 from ryelatch_node.relay._errors import (
     AnswerBroken,
     SendError,
@@ -24,7 +24,7 @@
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_path_checks.py
@@ -14,7 +14,7 @@
 
 from ryelatch_core.fleet import Replica, Stage
 from ryelatch_node.ports import Reachability
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.tasks import Tasks
 
 CONNECT_SECONDS = 0.03
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -5,7 +5,7 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_node.relay._exchange import Exchange
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 RETRY_JITTER = 0.3
 """Fraction of a wait by which the times of clients' retries are spread."""
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Report
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.tasks import Tasks
 
 REPORT_TIMEOUT_SECONDS = 0.4
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -25,7 +25,7 @@
 )
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -5,7 +5,7 @@
 from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
 from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
 from ryelatch_node.ports import (
     AnswerMetadata,
@@ -19,7 +19,7 @@
 from ryelatch_node.relay._budget import RetryAllowance, make_budget
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._server import RelayServer
 from ryelatch_node.relay._upstream import AnswerHook, Upstreams
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream_migrator.py
@@ -6,7 +6,7 @@
 from ryelatch_core.fleet import Stage, choose_path
 from ryelatch_node.ports import CommandResult, MoveResult
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._query import make_path_query
 from ryelatch_node.relay._stream import LiveStream
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -14,13 +14,13 @@
 from ryelatch_core.fleet import Replica, choose_path
 from ryelatch_core.kernel import LagMeter, cancel_task
 from ryelatch_node.ports import CommandResult
-from ryelatch_node.relay._evacuation import MigrationPlanner
+from ryelatch_node.relay._migration_planner import MigrationPlanner
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._mover import StreamMigrator
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._stream_migrator import StreamMigrator
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._query import find_profile, make_path_query
-from ryelatch_node.relay._silence import PathChecks
+from ryelatch_node.relay._path_checks import PathChecks
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.tasks import Tasks
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -5,7 +5,7 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.throttle import LimitTracker, ReportedLimit, TokenBucket
-from ryelatch_node.news import PermitReply, PermitRequest
+from ryelatch_node.peer_sync import PermitReply, PermitRequest
 
 
 @dataclass(eq=False)
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_permit_client.py
@@ -9,7 +9,7 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import (
+from ryelatch_node.peer_sync import (
     REQUEST_ERRORS,
     PeerConnection,
     PeerSync,
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -10,11 +10,11 @@
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import BackoffTracker, ReportedLimit, rank_limiters
-from ryelatch_node.news import PeerSync, PermitReply
+from ryelatch_node.peer_sync import PeerSync, PermitReply
 from ryelatch_node.ports import AnswerMetadata, RelayStartup
 from ryelatch_node.tasks import Tasks
 from ryelatch_node.throttle._limiter import Limiter
-from ryelatch_node.throttle._lines import PermitClient
+from ryelatch_node.throttle._permit_client import PermitClient
 
 MAX_LIMITERS_ASKED = 2
 """Maximum number of nodes that are asked for a permit, one after another."""
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_configuration.py
@@ -8,7 +8,7 @@
     RoutingTable,
     build_table,
 )
-from ryelatch_node.beliefs._known import UNKNOWN_AGE_SECONDS
+from ryelatch_node.views._freshness import UNKNOWN_AGE_SECONDS
 
 
 class ConfigurationView:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
@@ -14,12 +14,12 @@
 )
 from ryelatch_core.kernel import Clock, Hub
 from ryelatch_core.membership import DepartureBounds
-from ryelatch_node.beliefs._known import Freshness
-from ryelatch_node.beliefs._learned import ReportOverrides
-from ryelatch_node.beliefs._leavers import LeavingIncarnations
-from ryelatch_node.beliefs._lives import Incarnations
-from ryelatch_node.beliefs._missing import MissingEntries
-from ryelatch_node.beliefs._roster import ReplicaIndex
+from ryelatch_node.views._freshness import Freshness
+from ryelatch_node.views._report_overrides import ReportOverrides
+from ryelatch_node.views._leaving import LeavingIncarnations
+from ryelatch_node.views._incarnations import Incarnations
+from ryelatch_node.views._missing import MissingEntries
+from ryelatch_node.views._replica_index import ReplicaIndex
 
 _DIGITS = 3
 
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_service.py
@@ -3,8 +3,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, Service
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs._configuration import ConfigurationView
-from ryelatch_node.beliefs._replicas import ReplicaView
+from ryelatch_node.views._configuration import ConfigurationView
+from ryelatch_node.views._replicas import ReplicaView
 from ryelatch_node.ports import RelayStartup
 
 
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -13,8 +13,8 @@
 from ryelatch_core.fleet import LayerRange, Replica
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, Lease, compute_departure_bounds
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty import LeaseManager, PlacementController
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.placement import LeaseManager, PlacementController
 from ryelatch_node.ports import (
     CommandResult,
     LeaseRecord,
--- a/tests/node/news/test_introduction.py
+++ b/tests/node/peer_sync/test_bootstrap_client.py
@@ -7,7 +7,7 @@
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     BootstrapMessage,
     Change,
     ListReply,
@@ -15,8 +15,8 @@
     encode,
     pack,
 )
-from ryelatch_node.news._greeter import list_successors
-from ryelatch_node.news._introduction import BootstrapClient
+from ryelatch_node.peer_sync._bootstrapper import list_successors
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from virtual.links import open_pair
 from virtual.loop import VirtualClock
 
--- a/tests/node/news/test_greeter.py
+++ b/tests/node/peer_sync/test_bootstrapper.py
@@ -5,8 +5,8 @@
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import BootstrapReply, encode
-from ryelatch_node.news._greeter import RESTART_SECONDS, Bootstrapper
+from ryelatch_node.peer_sync._frames import BootstrapReply, encode
+from ryelatch_node.peer_sync._bootstrapper import RESTART_SECONDS, Bootstrapper
 from virtual.links import open_pair
 from virtual.loop import VirtualClock, run
 
--- a/tests/node/news/test_nonsense.py
+++ b/tests/node/peer_sync/test_malformed_frames.py
@@ -15,8 +15,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import PeerSync
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.peer_sync._frames import (
     WatchReply,
     WatchRequest,
     encode,
--- a/tests/node/news/test_memory.py
+++ b/tests/node/peer_sync/test_watch_cache.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
-from ryelatch_node.news._frames import Change, unpack
-from ryelatch_node.news._memory import MAX_PACKED_BYTES, StoreUpdate, WatchCache
+from ryelatch_node.peer_sync._frames import Change, unpack
+from ryelatch_node.peer_sync._watch_cache import MAX_PACKED_BYTES, StoreUpdate, WatchCache
 
 _CHANGE = Change(b'{}', False)
 
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/placement/test_placement.py
@@ -150,7 +150,7 @@
         plans.append(known)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 1):
         platform.list_replicas([make_replica('m-0', LayerRange(0, 8))])
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/placement/test_turns.py
@@ -8,7 +8,7 @@
 from fleet.running import wait_until
 from ryelatch_core.fleet import LayerRange
 from ryelatch_core.membership import Lease
-from ryelatch_node.duty._lease import (
+from ryelatch_node.placement._lease import (
     BASE_JITTER_SECONDS,
     MAX_JITTER_SECONDS,
 )
@@ -32,7 +32,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform(record=LeaseRecord(Lease('node-0', 1), 1))
     async with run_nodes(platform, 12):
         for number in range(10):
@@ -60,7 +60,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 12):
         platform.list_replicas([make_replica('m-0', None)])
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -10,7 +10,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from ryelatch_node.ports import Reachability, Report
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST
 from ryelatch_node.relay._watch import StreamWatch
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_migration_planner.py
@@ -10,8 +10,8 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.relay._evacuation import LEAVING_SECONDS, MigrationPlanner
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.relay._migration_planner import LEAVING_SECONDS, MigrationPlanner
 from ryelatch_node.relay._stream import LiveStream
 
 
--- a/tests/node/relay/test_silence.py
+++ b/tests/node/relay/test_path_checks.py
@@ -13,9 +13,9 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from ryelatch_node.ports import Reachability
-from ryelatch_node.relay._silence import (
+from ryelatch_node.relay._path_checks import (
     CONNECT_SECONDS,
     COOLDOWN_SECONDS,
     MAX_THRESHOLD_FACTOR,
--- a/tests/node/beliefs/test_lives.py
+++ b/tests/node/views/test_incarnations.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 _HELD = LayerRange(0, 8)
 
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -14,7 +14,7 @@
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 def _list_lost(node: RunningNode) -> set[str]:
@@ -185,7 +185,7 @@
         assert status == 503
 
 
-async def test_unlisted_registry_is_no_repair() -> None:
+async def test_client_retries_soon_before_initial_sync() -> None:
     """A node has just started and has not listed the replicas.
 
     It knows of no layers, but none are missing: the client comes back at
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_request_that_ends_replicas_meets_few(path: str) -> None:
+async def test_crashing_request_reaches_few_replicas(path: str) -> None:
     """One request takes a service down, replica by replica.
 
     Each replica that begins to run it ends, and with it all that others had
--- a/tests/platform/test_leaving_said.py
+++ b/tests/platform/test_leaving_said.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_replica_that_says_so_gets_no_more(path: str) -> None:
+async def test_announced_departure_stops_requests(path: str) -> None:
     """A replica that leaves gets requests until its entry tells."""
     replicas = _make(path)
     async with run_node(replicas) as node:
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_entry_does_not_take_it_back(path: str) -> None:
+async def test_entry_does_not_cancel_a_departure(path: str) -> None:
     """An entry that is written, gone or back brings a leaver into use."""
     replicas = _make(path)
     async with run_node(replicas) as node:
@@ -67,7 +67,7 @@
         assert not replicas[0].runs
 
 
-async def test_it_holds_while_the_store_is_silent() -> None:
+async def test_departure_holds_in_a_store_outage() -> None:
     """A node that hears nothing of the store sends to a leaver."""
     replicas = make_plain(2)
     async with run_node(replicas) as node:
@@ -77,7 +77,7 @@
         assert not replicas[0].runs
 
 
-async def test_next_life_does_not_leave() -> None:
+async def test_restarted_replica_is_used_again() -> None:
     """A replica that started again gets nothing, as the one before left."""
     replicas = make_plain(2)
     replicas[0].born = 1000
@@ -91,7 +91,7 @@
         assert replicas[0].runs
 
 
-async def test_other_words_are_no_leaving() -> None:
+async def test_invalid_leaving_header_is_ignored() -> None:
     """Nonsense in an answer takes a sound replica out of use."""
     replicas = make_plain(1)
     replicas[0].says = {'Server-Leaving': 'perhaps'}
--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -22,7 +22,7 @@
 _NOTICE_SECONDS = 3.0
 
 
-async def test_lines_tell_that_a_limit_was_named() -> None:
+async def test_reported_limit_is_logged() -> None:
     """Nothing at a node shows that a replica named a limit, or took it back."""
     replica = make_plain(1)[0]
     replica.says = {'Server-Limit': '500'}
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -40,7 +40,7 @@
         assert body == expect_events(5)
 
 
-async def test_answer_of_another_replica_ends_a_life() -> None:
+async def test_answer_of_another_replica_marks_a_crash() -> None:
     """Another replica answers at the address of one that is still listed.
 
     Requests went there again and again until the entry lapsed.
--- a/tests/platform/test_moves.py
+++ b/tests/platform/test_moves.py
@@ -148,7 +148,7 @@
     to be resumed elsewhere, found no place, and callers lost answers that
     would have ended in time.
     """
-    monkeypatch.setattr('ryelatch_node.relay._evacuation.LEAVING_SECONDS', 0)
+    monkeypatch.setattr('ryelatch_node.relay._migration_planner.LEAVING_SECONDS', 0)
     replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)), 8)
     async with run_node(replicas) as node:
         head = node.replicas['m-0']
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -19,8 +19,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import PeerSync
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
@@ -98,7 +98,7 @@
         await wait_until(lambda: len(replicas.replicas) == 1, 2)
 
 
-async def test_lost_watcher_is_left() -> None:
+async def test_lost_watcher_is_abandoned() -> None:
     """The node that watches for others is killed; the follower watches."""
     async with (
         run_node(make_plain(2)) as node,
@@ -112,7 +112,7 @@
         assert any(line['name'] == 'watcher-left' for line in found)
 
 
-async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watcher_without_the_store_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """The watcher is cut off from the store and goes on to answer.
 
     A replica that left would get work from its followers, and a key that was
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -19,7 +19,7 @@
     wait_until,
 )
 from ryelatch_core.quarantine import digest_request
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from standins.replica import ReplicaStandIn
 
 _CRASHING = b'a question under which replicas end'
@@ -127,7 +127,7 @@
             assert status == 200
 
 
-async def test_ends_of_an_outage_are_told_after_it() -> None:
+async def test_crashes_in_an_outage_are_shared_later() -> None:
     """Replicas end under a request while the store answers nobody.
 
     This node refuses it at once, the others when the store is back.
@@ -154,7 +154,7 @@
         )
 
 
-async def test_lost_connections_are_no_ends() -> None:
+async def test_lost_connections_are_not_crashes() -> None:
     """Replicas cut answers off and serve on, or the way there is cut.
 
     Taken for ends, a link that loses connections would have all that goes
@@ -216,7 +216,7 @@
         asked.cancel()
 
 
-async def test_slow_replica_is_no_alibi() -> None:
+async def test_request_on_a_slow_replica_is_suspected() -> None:
     """Slow replicas take most of a second from an answer's head to their end.
 
     Counted from the head, the request would have run for too long to be why.
@@ -255,7 +255,7 @@
         assert not node.count('request-quarantined')
 
 
-async def test_one_attempt_ends_few_replicas() -> None:
+async def test_one_attempt_crashes_few_replicas() -> None:
     """One attempt of a client ended five replicas where its route allows two.
 
     A run that ended with its replica did not count among the attempts, as a
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -12,8 +12,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.news import Change, StoreUpdate
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.peer_sync import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
 from ryelatch_platform._registry import ReplicaRegistry
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -17,7 +17,7 @@
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 async def test_plain_answer_is_passed_on_byte_for_byte() -> None:
@@ -264,7 +264,7 @@
         await wait_until(lambda: node.count('exchange-left'))
 
 
-async def test_unreachable_replica_costs_no_booking() -> None:
+async def test_booking_survives_unreachable_replica() -> None:
     """A replica is gone, and the registry still lists it.
 
     Nothing was sent, so even a booking may go to another replica.
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -12,8 +12,8 @@
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NodeEntry, compute_departure_bounds
 from ryelatch_core.quarantine import CrashTracker
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import PeerSync
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import Address
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_platform._follow import Follower
@@ -25,7 +25,7 @@
 )
 from ryelatch_platform._quarantine import make_quarantine_store
 from ryelatch_platform._store import StoreClient
-from ryelatch_platform._waits import FLEET_START_SECONDS
+from ryelatch_platform._watch_timing import FLEET_START_SECONDS
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 from virtual.store import VirtualStore
