--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,4 +1,8 @@
-"""Claims a second through three nodes, and the store's writes for them."""
+"""Measures bookings with claims: requests per second, and store writes.
+
+Three nodes take the bookings. Those with an idempotency key are claimed at the
+store before they are sent to a service; the others are not.
+"""
 
 import asyncio
 import time
@@ -12,28 +16,32 @@
 
 
 async def measure(
-    fleet: Fleet, callers: int, *, keyed: bool
+    fleet: Fleet, clients: int, *, keyed: bool
 ) -> dict[str, float]:
-    """Book for a while with a number of callers."""
+    """Measure bookings by clients that send one after the other.
+
+    :param clients: number of clients.
+    :param keyed: whether bookings have an idempotency key.
+    """
     end = time.monotonic() + _SECONDS
     times: list[float] = []
 
     async def call(number: int) -> None:
-        turn = 0
+        sent = 0
         while time.monotonic() < end:
-            turn += 1
-            name = f'{callers}-{number}-{turn}-{keyed}'
-            begun = time.monotonic()
+            sent += 1
+            name = f'{clients}-{number}-{sent}-{keyed}'
+            started = time.monotonic()
             node = fleet.nodes[number % len(fleet.nodes)]
             await book(fleet, node, name, name if keyed else '')
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - started)
 
     before = await fleet.inspect(fleet.platform, 'counts')
-    await asyncio.gather(*(call(number) for number in range(callers)))
+    await asyncio.gather(*(call(number) for number in range(clients)))
     after = await fleet.inspect(fleet.platform, 'counts')
     writes = after.get('PUT objects', 0) - before.get('PUT objects', 0)
     return {
-        'callers': callers,
+        'callers': clients,
         'keyed': keyed,
         'requests_per_s': len(times) / _SECONDS,
         'writes_per_request': writes / len(times),
@@ -43,11 +51,11 @@
 
 
 async def main() -> None:
-    """Measure keyed and other bookings."""
+    """Measure bookings with and without an idempotency key."""
     async with run_fleet(make_shape(replicas=1)) as fleet:
         rows = [
-            await measure(fleet, callers, keyed=keyed)
-            for callers in (1, 32)
+            await measure(fleet, clients, keyed=keyed)
+            for clients in (1, 32)
             for keyed in (False, True)
         ]
         assert set((await count_runs(fleet)).values()) == {1}
