--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -61,22 +61,20 @@
     ),
     Mechanism(
         'turns',
-        f'{_CORE}/_returns.py',
+        f'{_CORE}/_retry_delays.py',
         r'RETRY_FRACTION = .*',
         'RETRY_FRACTION = 1e9',
     ),
-    Mechanism(
-        'jitter', f'{_CORE}/_prices.py', r'_JITTER = .*', '_JITTER = 0.0'
-    ),
+    Mechanism('jitter', f'{_CORE}/_costs.py', r'_JITTER = .*', '_JITTER = 0.0'),
     Mechanism(
         'excess',
-        f'{_CORE}/_prices.py',
+        f'{_CORE}/_costs.py',
         r'EXCESS_WEIGHT = .*',
         'EXCESS_WEIGHT = 0.0',
     ),
     Mechanism(
         'slots price',
-        f'{_CORE}/_prices.py',
+        f'{_CORE}/_costs.py',
         r'SLOTS_SECONDS = .*',
         'SLOTS_SECONDS = 0.0',
     ),
@@ -93,11 +91,14 @@
         'EVIDENCE_LIMIT = 1e9',
     ),
     Mechanism(
-        'moves', f'{_RELAY}/_mover.py', r'MOVE_TRIES = .*', 'MOVE_TRIES = 0'
+        'moves',
+        f'{_RELAY}/_stream_migrator.py',
+        r'MOVE_TRIES = .*',
+        'MOVE_TRIES = 0',
     ),
     Mechanism(
         'evacuation',
-        f'{_RELAY}/_evacuation.py',
+        f'{_RELAY}/_migration_planner.py',
         r'MAX_TRIES = .*',
         'MAX_TRIES = 0',
     ),
@@ -109,7 +110,7 @@
     ),
     Mechanism(
         'first lists',
-        f'{_RELAY}/_beginning.py',
+        f'{_RELAY}/_initial_sync.py',
         r'MAX_WAIT_SECONDS = .*',
         'MAX_WAIT_SECONDS = 0.0',
     ),
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -14,7 +14,7 @@
 import aiohttp
 from common import find_percentiles, print_table, save_result
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.demo import find_chain
 from fleet.fleet import Fleet, make_shape, run_fleet
 
@@ -38,7 +38,7 @@
 
 async def silence_links(fleet: Fleet, chain: list[str]) -> None:
     """Stop all traffic on the open connections of the middle stage."""
-    await fleet.silence(fleet.processes[chain[1]])
+    await fleet.silence_connections(fleet.processes[chain[1]])
 
 
 async def kill_both(fleet: Fleet, chain: list[str]) -> None:
@@ -66,7 +66,7 @@
         without it, in seconds.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        answers = [Heard() for _ in range(_RUNS)]
+        answers = [StreamedAnswer() for _ in range(_RUNS)]
         requests = [
             asyncio.create_task(
                 ask(
@@ -110,7 +110,7 @@
     """
     gaps = []
     async with run_fleet(make_shape(nodes=2)) as fleet:
-        answers = [Heard() for _ in range(_RUNS)]
+        answers = [StreamedAnswer() for _ in range(_RUNS)]
 
         async def call(index: int) -> None:
             answer = answers[index]
@@ -125,7 +125,7 @@
                 )
             except (OSError, aiohttp.ClientError):
                 broken = time.monotonic()
-                second_answer = Heard()
+                second_answer = StreamedAnswer()
                 received = len(answer.times)
                 await ask(
                     fleet.http,
--- a/tests/fleet/caller.py
+++ b/tests/fleet/caller.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Heard:
+class StreamedAnswer:
     """What a client has received of one streamed answer.
 
     :param done: whether the final ``[DONE]`` event was received.
@@ -58,16 +58,16 @@
     key: str,
     content: str,
     limit: int,
-    heard: Heard | None = None,
+    heard: StreamedAnswer | None = None,
     model: str = 'textile-care',
-) -> Heard:
+) -> StreamedAnswer:
     """Send a chat request, and read its streamed answer.
 
     :param limit: maximum number of tokens.
     :param heard: filled while the answer arrives, so that a caller can look
         at it meanwhile.
     """
-    heard = heard or Heard()
+    heard = heard or StreamedAnswer()
     heard.started = time.monotonic()
     body = {
         'model': model,
@@ -92,7 +92,7 @@
     return heard
 
 
-def _apply_line(heard: Heard, line: bytes) -> None:
+def _apply_line(heard: StreamedAnswer, line: bytes) -> None:
     if not line.startswith(b'data: '):
         return
     payload = line[len(b'data: ') :].strip()
@@ -108,7 +108,7 @@
         _append_piece(heard, choice['delta'].get('content', ''))
 
 
-def _append_piece(heard: Heard, piece: str) -> None:
+def _append_piece(heard: StreamedAnswer, piece: str) -> None:
     if piece:
         heard.text += piece
         heard.times.append(time.monotonic())
--- a/tests/fleet/checks.py
+++ b/tests/fleet/checks.py
@@ -64,7 +64,7 @@
     :returns: number of runs by the booking's body.
     """
     total: dict[str, int] = defaultdict(int)
-    for name in fleet.shape.plain:
+    for name in fleet.shape.non_model:
         process = fleet.processes[name]
         if process.child.returncode is None:
             seen = await fleet.inspect(process, 'runs')
@@ -75,7 +75,7 @@
 
 async def set_booking_faults(fleet: Fleet, **faults: Any) -> None:
     """Set the faults that all non-model upstreams simulate."""
-    for name in fleet.shape.plain:
+    for name in fleet.shape.non_model:
         await fleet.control(fleet.processes[name], 'faults', faults)
 
 
--- a/tests/fleet/demo.py
+++ b/tests/fleet/demo.py
@@ -4,7 +4,7 @@
 import sys
 import time
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.fleet import Fleet, make_shape, run_fleet
 from standins.model import complete_chat
 
@@ -24,7 +24,7 @@
 
     :returns: whether the answer is complete and correct.
     """
-    heard = Heard()
+    heard = StreamedAnswer()
     node = fleet.nodes[0]
     request_task = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
@@ -79,7 +79,7 @@
             replies.append((response.status, await response.text()))
     runs = [
         (await fleet.inspect(fleet.processes[name], 'runs'))['runs']
-        for name in fleet.shape.plain
+        for name in fleet.shape.non_model
     ]
     total = sum(sum(found.values()) for found in runs)
     report_progress(
@@ -94,7 +94,7 @@
     :returns: whether the answer is complete and the node exited with code 0.
     """
     node = fleet.nodes[1]
-    heard = Heard()
+    heard = StreamedAnswer()
     request_task = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
     )
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -46,7 +46,7 @@
     :param settings: file name of the example settings.
     :param role: role of the non-model upstreams, as the settings name it.
     :param nodes: availability zone by name of the node.
-    :param plain: availability zone by name of the non-model upstream.
+    :param non_model: availability zone by name of the non-model upstream.
     :param startup: start-up settings that all nodes share.
     :param tweak: changes the example settings before they are applied.
     """
@@ -57,7 +57,7 @@
     role: str
     nodes: dict[str, str]
     engines: tuple[EngineSpec, ...]
-    plain: dict[str, str]
+    non_model: dict[str, str]
     startup: dict[str, Any] = field(default_factory=dict)
     tweak: Callable[[dict[str, Any]], object] | None = None
 
@@ -149,8 +149,8 @@
         await asyncio.gather(
             *(self.start_engine(spec) for spec in self.shape.engines),
             *(
-                self.start_plain(name, zone)
-                for name, zone in self.shape.plain.items()
+                self.start_non_model(name, zone)
+                for name, zone in self.shape.non_model.items()
             ),
         )
 
@@ -169,7 +169,7 @@
         await self._add_vm(process, 'engine', spec.zone)
         return process
 
-    async def start_plain(self, name: str, zone: str) -> Process:
+    async def start_non_model(self, name: str, zone: str) -> Process:
         """Start a non-model service, and add it to the list of VMs."""
         process = await spawn_standin(name, 'booking')
         await self._add_vm(process, self.shape.role, zone)
@@ -227,7 +227,7 @@
         async with self.http.get(url) as response:
             return json.loads(await response.text())
 
-    async def silence(self, process: Process) -> None:
+    async def silence_connections(self, process: Process) -> None:
         """Stop all traffic on the open connections of a stand-in for good.
 
         The connections stay open, so only a timeout shows the fault.
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -13,7 +13,6 @@
 from ryelatch_core.fleet import LayerRange, Replica
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, Lease, compute_departure_bounds
-from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.placement import LeaseManager, PlacementController
 from ryelatch_node.ports import (
     CommandResult,
@@ -22,6 +21,7 @@
     ReplicaCommands,
     Report,
 )
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_platform._objects import Metadata, StoredObject
 from ryelatch_platform._translate import translate_configuration
 
