--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -96,7 +96,7 @@
 def _block_loop(seconds: float) -> None:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
-    loop.stand_still(seconds)
+    loop.freeze(seconds)
 
 
 @pytest.mark.parametrize('at', [0.42, 0.52, 0.62, 0.72])
--- a/tests/node/relay/test_path_checks.py
+++ b/tests/node/relay/test_path_checks.py
@@ -86,7 +86,7 @@
         if late:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualLoop)
-            loop.stand_still(late)
+            loop.freeze(late)
         await asyncio.sleep(CONNECT_SECONDS + _REACHED_SECONDS)
         await checks.stop()
         lost.update(view.list_unreachable())
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -11,7 +11,7 @@
 from ryelatch_node.peer_sync import PermitRequest
 from ryelatch_node.throttle._permit_client import PERMIT_TIMEOUT_SECONDS
 from virtual.loop import run
-from virtual.throttles import REPLICA, ThrottledFleet, make_terms
+from virtual.throttles import REPLICA, ThrottledFleet, make_metadata
 
 _SPAN = 4.0
 
@@ -36,7 +36,7 @@
 async def _report_limit(fleet: ThrottledFleet) -> None:
     """Report the limit to each node once."""
     for throttle in fleet.nodes.values():
-        throttle.record_answer(REPLICA, make_terms(fleet.limit))
+        throttle.record_answer(REPLICA, make_metadata(fleet.limit))
 
 
 @pytest.mark.parametrize('limit', [0, 0.5, 1, 4.2, 40])
@@ -49,8 +49,8 @@
         names = _name_nodes(nodes)
         fleet.start(names)
         await _report_limit(fleet)
-        await fleet.press(names, 12, gap=0.002)
-        assert fleet.count_most(0, _SPAN) <= _allow(limit)
+        await fleet.send_in_turn(names, 12, gap=0.002)
+        assert fleet.count_max(0, _SPAN) <= _allow(limit)
         assert len(fleet.sent) >= 0.6 * limit * 12
         assert fleet.sent
         await fleet.stop()
@@ -69,8 +69,8 @@
         older = [name for name in names if name != first]
         fleet.update_nodes(older[:4], older)
         await _report_limit(fleet)
-        await fleet.press(names, 12, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        await fleet.send_in_turn(names, 12, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         await fleet.stop()
 
     run(main())
@@ -89,13 +89,13 @@
         await _report_limit(fleet)
         first = _rank(names)[0]
         living = [name for name in names if name != first]
-        await fleet.press(names, 6, gap=0.005)
-        fleet.dark.add(first)
+        await fleet.send_in_turn(names, 6, gap=0.005)
+        fleet.unreachable.add(first)
         for throttle in fleet.nodes.values():
             throttle.permit_client.stop()
         lost = _now()
-        await fleet.press(living, 10, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        await fleet.send_in_turn(living, 10, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         after = [at for at, _ in fleet.sent if at > lost + 2]
         assert len(after) >= 0.6 * 4.2 * 8
         await fleet.stop()
@@ -116,7 +116,7 @@
         fleet.start(names)
         await _report_limit(fleet)
         ranked = _rank(names)
-        fleet.dark.update(ranked[:2])
+        fleet.unreachable.update(ranked[:2])
         node = fleet.nodes[ranked[5]]
         began = _now()
         assert not await node.acquire_permit(REPLICA)
@@ -141,9 +141,9 @@
         names = _name_nodes(60)
         fleet.start(names)
         await _report_limit(fleet)
-        await fleet.press(names, 5, gap=0.01)
+        await fleet.send_in_turn(names, 5, gap=0.01)
         fleet.limit = None
-        await fleet.press(names, 3, gap=0.01)
+        await fleet.send_in_turn(names, 3, gap=0.01)
         limited = [
             name
             for name, throttle in fleet.nodes.items()
@@ -163,9 +163,9 @@
         names = _name_nodes(2)
         fleet.start(names)
         limiter = fleet.nodes[_rank(names)[0]]
-        limiter.record_answer(REPLICA, make_terms(4.2))
+        limiter.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        limiter.record_answer(REPLICA, make_terms(None))
+        limiter.record_answer(REPLICA, make_metadata(None))
         await asyncio.sleep(1)
         reply = limiter.limiter.handle_request(
             PermitRequest(REPLICA.name, 4.2, 1.5)
@@ -207,9 +207,9 @@
         await _report_limit(fleet)
         limiter = fleet.nodes[_rank(names)[0]]
         for _ in range(24):
-            await fleet.press(names, 0.5, gap=0.01)
+            await fleet.send_in_turn(names, 0.5, gap=0.01)
             limiter.keep(())
-        assert fleet.count_most(0, _SPAN) <= _allow(0)
+        assert fleet.count_max(0, _SPAN) <= _allow(0)
         await fleet.stop()
 
     run(main())
@@ -225,11 +225,11 @@
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.record_answer(REPLICA, make_terms(4.2))
+        node.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        node.record_answer(REPLICA, make_terms(None, signed=False))
+        node.record_answer(REPLICA, make_metadata(None, signed=False))
         assert node.is_limited(REPLICA.name)
-        node.record_answer(REPLICA, make_terms(None))
+        node.record_answer(REPLICA, make_metadata(None))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
@@ -249,9 +249,9 @@
         fleet.start(names)
         await _report_limit(fleet)
         gone = _rank(names)[:2]
-        fleet.dark.update(gone)
+        fleet.unreachable.update(gone)
         living = [name for name in names if name not in gone]
-        await fleet.press(living, 30, gap=0.01)
+        await fleet.send_in_turn(living, 30, gap=0.01)
         assert len(fleet.sent) >= 0.5 * 4.2 * 30
         asked = [line for line in fleet.lines if line['name'] == 'limiter-left']
         assert len(asked) <= len(living) * len(gone) * 5
--- a/tests/platform/test_fleet_calls.py
+++ b/tests/platform/test_fleet_calls.py
@@ -74,7 +74,7 @@
     run(play())
 
 
-def test_nodes_turned_away_live_on_others_word() -> None:
+def test_rejected_nodes_follow_their_peers() -> None:
     """The store turns two thirds of the followers away for twenty seconds."""
 
     async def play() -> None:
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -12,7 +12,7 @@
 from fleet.running import (
     RunningNode,
     make_configuration,
-    make_plain,
+    make_non_model_replicas,
     run_node,
     wait_until,
 )
@@ -77,7 +77,7 @@
 
 async def test_followers_make_no_calls() -> None:
     """Two nodes, one of which watches for both."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         before = _count_watches(node, 'servers')
         await asyncio.sleep(3)
@@ -88,7 +88,7 @@
 
 async def test_changes_reach_followers() -> None:
     """A key goes and a replica leaves; the follower hears of both."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         node.store.put('config', 'main', make_configuration(7, tenants=[]))
         node.store.drop('servers', 'b-0')
@@ -98,10 +98,10 @@
         await wait_until(lambda: len(replicas.replicas) == 1, 2)
 
 
-async def test_lost_watcher_is_left() -> None:
+async def test_lost_watcher_is_abandoned() -> None:
     """The node that watches for others is killed; the follower watches."""
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, found),
     ):
         await asyncio.sleep(2.5)
@@ -112,14 +112,14 @@
         assert any(line['name'] == 'watcher-left' for line in found)
 
 
-async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watcher_without_the_store_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """The watcher is cut off from the store and goes on to answer.
 
     A replica that left would get work from its followers, and a key that was
     taken away be accepted.
     """
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, found),
     ):
         await asyncio.sleep(2.5)
@@ -153,7 +153,7 @@
     also where a configuration changed meanwhile that is too large to be
     passed on to those who can read it themselves.
     """
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         monkeypatch.setattr(
             'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 20
         )
@@ -181,7 +181,7 @@
 
 async def test_bad_frames_end_a_connection_only() -> None:
     """Something that is no peer connects."""
-    async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(1)) as node, _run_second(node) as (app, _):
         address = node.app.find('news', PeerSync).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
             reader, writer = await asyncio.open_connection(*address)
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -93,7 +93,7 @@
     bootstrap_client.request_list = ask_late  # type: ignore[method-assign]
 
 
-def test_what_is_refused_is_known_first() -> None:
+def test_quarantine_is_synced_first() -> None:
     """A request has ended three replicas, and a node starts in an outage."""
 
     async def play() -> None:
@@ -151,7 +151,7 @@
     )
 
 
-def test_node_greeted_in_an_outage_asks_little() -> None:
+def test_bootstrapped_node_makes_few_calls() -> None:
     """The store refuses at once; what no peer tells is asked for in vain."""
 
     async def play() -> None:
@@ -186,7 +186,7 @@
     run(play())
 
 
-def test_nobody_is_greeted_in_calm() -> None:
+def test_no_bootstrap_without_an_outage() -> None:
     """A calm fleet starts and runs; nothing is asked beyond its watches."""
 
     async def play() -> None:
--- a/tests/virtual/loop.py
+++ b/tests/virtual/loop.py
@@ -20,7 +20,7 @@
         """Tell the virtual time in seconds."""
         return self._now
 
-    def stand_still(self, seconds: float) -> None:
+    def freeze(self, seconds: float) -> None:
         """Let time pass in which nothing runs, as without a processor."""
         self._now += seconds
 
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -24,13 +24,13 @@
     """Nodes that send to one replica, which names a limit.
 
     :param limit: named in each answer; nothing for none.
-    :param dark: nodes that can't be reached.
+    :param unreachable: nodes that can't be reached.
     :param sent: when a request reached the replica, and from which node.
     """
 
     limit: float | None
     nodes: dict[str, Throttle] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     sent: list[tuple[float, str]] = field(default_factory=list)
     lines: list[dict[str, Any]] = field(default_factory=list)
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
@@ -57,10 +57,10 @@
         if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.record_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_metadata(self.limit))
         return True
 
-    async def press(self, names: list[str], seconds: float, gap: float) -> None:
+    async def send_in_turn(self, names: list[str], seconds: float, gap: float) -> None:
         """Send from some nodes in turn, one request each so many seconds."""
         loop = asyncio.get_running_loop()
         ends = loop.time() + seconds
@@ -69,7 +69,7 @@
                 self._tasks.append(asyncio.create_task(self._press_once(name)))
                 await asyncio.sleep(gap)
 
-    def count_most(self, since: float, span: float) -> int:
+    def count_max(self, since: float, span: float) -> int:
         """Count the most requests that came within some seconds."""
         times = [at for at, _ in self.sent if at >= since]
         return max(
@@ -101,15 +101,15 @@
         return len(line)
 
     async def _dial(self, host: str, _: int) -> Any:
-        if host in self.dark:
+        if host in self.unreachable:
             await asyncio.Event().wait()
         await asyncio.sleep(LINK_SECONDS)
-        near, far = open_pair(lambda: host not in self.dark)
+        near, far = open_pair(lambda: host not in self.unreachable)
         serving = self.nodes[host].peer_sync.server.serve(*far)
         self._tasks.append(asyncio.create_task(serving))
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
+def make_metadata(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
     """Make what an answer says that names a limit."""
     return AnswerMetadata('', signed, not signed, '', False, limit=limit)
