--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -75,7 +75,7 @@
         'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 1
     )
     # Keeps the first watch short, which is sent before the peer is known.
-    monkeypatch.setattr('ryelatch_platform._kinds.REGISTRY_WAIT', 0.5)
+    monkeypatch.setattr('ryelatch_platform._kinds.REGISTRY_WAIT_SECONDS', 0.5)
 
 
 async def test_followers_make_no_calls() -> None:
--- a/tests/platform/test_views.py
+++ b/tests/platform/test_views.py
@@ -94,8 +94,8 @@
     store is back, while the old watch would wait for seconds more.
     """
     follow = 'ryelatch_platform._kinds'
-    monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
-    monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
+    monkeypatch.setattr(f'{follow}.REGISTRY_WAIT_SECONDS', 60)
+    monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT_SECONDS', 0.2)
     async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
@@ -118,8 +118,8 @@
     detects that, and a watch on another old connection would wait for 60 s.
     """
     follow = 'ryelatch_platform._kinds'
-    monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
-    monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
+    monkeypatch.setattr(f'{follow}.REGISTRY_WAIT_SECONDS', 60)
+    monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT_SECONDS', 0.2)
     async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
@@ -140,7 +140,9 @@
     ends it late, the next watch must not wait as long again before it
     confirms them.
     """
-    monkeypatch.setattr('ryelatch_platform._kinds.CONFIGURATION_WAIT', 4)
+    monkeypatch.setattr(
+        'ryelatch_platform._kinds.CONFIGURATION_WAIT_SECONDS', 4
+    )
     async with run_node(make_non_model_replicas(1), revoke_seconds=6) as node:
         await asyncio.sleep(3.5)
         node.store.put('config', 'main', make_configuration(7))
