--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -10,15 +10,15 @@
 from fleet.fleet import Fleet, make_shape, run_fleet
 
 
-def _make_short(tree: dict[str, Any]) -> None:
+def _shorten_timeout(tree: dict[str, Any]) -> None:
     tree['services']['booking']['timeout'] = 2
 
 
-async def _faults(fleet: Fleet, **faults: Any) -> None:
+async def _set_store_faults(fleet: Fleet, **faults: Any) -> None:
     await fleet.control(fleet.platform, 'faults', {'match': 'claims'} | faults)
 
 
-async def _wait_claimed(fleet: Fleet) -> None:
+async def _wait_until_claimed(fleet: Fleet) -> None:
     async def claimed() -> bool:
         objects = await fleet.inspect(fleet.platform, 'objects')
         return any(key.startswith('claims/') for key in objects)
@@ -27,10 +27,11 @@
 
 
 async def test_same_key_through_all_nodes_at_once() -> None:
-    """A dispatcher's client sends a booking again as the first is slow.
+    """Concurrent tries of one booking through all nodes run it twice.
 
-    The balancer spreads the tries over all nodes at the same moment. One
-    node sends it; the others wait for its answer and give the same.
+    A client repeats a slow booking, and the load balancer spreads the tries
+    over all nodes. One node sends it; the others must wait for its answer and
+    return the same.
     """
     async with run_fleet(make_shape()) as fleet:
         await set_booking_faults(fleet, slow_answer=0.3)
@@ -42,10 +43,9 @@
 
 
 async def test_same_key_for_another_request() -> None:
-    """A client uses one key for two different bookings.
+    """A second booking under the key of another gets the other's answer.
 
-    The answer of the first would be wrong for the second, so the second is
-    refused and not run.
+    The second must be refused and not run.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         await book(fleet, fleet.nodes[0], 'pallet', 'key-1')
@@ -57,89 +57,91 @@
 
 
 async def test_store_out_before_the_claim() -> None:
-    """The platform's store is out when the booking arrives.
+    """A booking is sent without a claim while the store is unavailable.
 
-    Without a claim nothing could stop a second node, so nothing is sent and
-    the caller is told so at once.
+    Without a claim, a second node could send it too. The node must send
+    nothing and answer ``not-run`` at once.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        await _faults(fleet, outage=True)
+        await _set_store_faults(fleet, outage=True)
         status, outcome, _ = await book(fleet, fleet.nodes[0], 'p', 'key-1')
         assert (status, outcome) == (503, 'not-run')
         assert not await count_runs(fleet)
-        await _faults(fleet)
-        again = await book(fleet, fleet.nodes[0], 'p', 'key-1')
-        assert again[:2] == (201, 'complete')
+        await _set_store_faults(fleet)
+        retry = await book(fleet, fleet.nodes[0], 'p', 'key-1')
+        assert retry[:2] == (201, 'complete')
         assert await count_runs(fleet) == {'p': 1}
 
 
 async def test_store_out_between_claim_and_outcome() -> None:
-    """The store goes out after the claim, while the booking runs.
+    """The store becomes unavailable while a claimed booking runs.
 
-    The caller gets the answer all the same. The outcome is recorded when the
-    store is back, and a try through another node is given the same answer.
+    The client must get the answer nevertheless. The outcome is recorded when
+    the store is back, and a try through another node gets the same answer.
     """
     async with run_fleet(make_shape(nodes=2)) as fleet:
         await set_booking_faults(fleet, slow_answer=0.5)
-        asking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
+        booking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
 
         async def ran() -> bool:
             return bool(await count_runs(fleet))
 
         await fleet.wait_for(ran)
-        await _faults(fleet, outage=True)
-        assert (await asking)[:2] == (201, 'complete')
+        await _set_store_faults(fleet, outage=True)
+        assert (await booking)[:2] == (201, 'complete')
         refused = await book(fleet, fleet.nodes[1], 'p', 'key-1')
         assert refused[1] != 'complete'
-        await _faults(fleet)
-        again = await book(fleet, fleet.nodes[1], 'p', 'key-1')
-        assert again[:2] == (201, 'complete')
+        await _set_store_faults(fleet)
+        retry = await book(fleet, fleet.nodes[1], 'p', 'key-1')
+        assert retry[:2] == (201, 'complete')
         assert await count_runs(fleet) == {'p': 1}
 
 
 async def test_claim_whose_answer_is_lost() -> None:
-    """The write of a claim takes effect and its answer is lost.
+    """A node takes its own claim for another node's.
 
-    The node finds its own mark in the record and goes on; a node that took
-    the record for another's would answer ``unknown`` for what never ran.
+    The write of the claim takes effect, but its response is lost. The node
+    must recognize its own mark in the record and continue; otherwise it would
+    answer ``unknown`` for a booking that never ran.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        await _faults(fleet, lose=1)
+        await _set_store_faults(fleet, lose=1)
         reply = await book(fleet, fleet.nodes[0], 'p', 'key-1')
         assert reply[:2] == (201, 'complete')
         assert await count_runs(fleet) == {'p': 1}
 
 
 async def test_claim_that_lands_late() -> None:
-    """A claim has no answer and lands half a second after it was given up.
+    """The write of a claim takes effect half a second after its timeout.
 
-    The node makes the claim again under the same mark; whichever lands
-    first, the other fails, and the booking runs once.
+    The node repeats the claim under the same mark. Whichever write takes
+    effect first, the other fails, and the booking must run once.
     """
     async with run_fleet(make_shape(nodes=2)) as fleet:
-        await _faults(fleet, late=1, late_by=2.5)
+        await _set_store_faults(fleet, late=1, late_by=2.5)
         replies = await asyncio.gather(
             *(book(fleet, node, 'p', 'key-1') for node in fleet.nodes)
         )
         assert {reply[1] for reply in replies} <= {'complete', 'not-run'}
-        again = await book(fleet, fleet.nodes[1], 'p', 'key-1')
-        assert again[:2] == (201, 'complete')
+        retry = await book(fleet, fleet.nodes[1], 'p', 'key-1')
+        assert retry[:2] == (201, 'complete')
         assert await count_runs(fleet) == {'p': 1}
 
 
 async def test_key_given_up_in_an_outage_is_free_again() -> None:
-    """A claim lands without answer, and the store goes out right after.
+    """A claim stays in the store for a booking that is never sent.
 
-    The caller is told ``not-run``. When the store is back the claim is set
-    free, or the next try would wait for a request that nobody sends.
+    The write of the claim gets no response, and the store becomes unavailable
+    right after, so the client gets ``not-run``. When the store is back, the
+    claim must be released, or the next try waits without end.
     """
-    async with run_fleet(make_shape(nodes=2, tweak=_make_short)) as fleet:
-        await _faults(fleet, lose=1)
-        asking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
-        await _wait_claimed(fleet)
-        await _faults(fleet, outage=True)
-        assert (await asking)[1] == 'not-run'
-        await _faults(fleet)
+    async with run_fleet(make_shape(nodes=2, tweak=_shorten_timeout)) as fleet:
+        await _set_store_faults(fleet, lose=1)
+        booking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
+        await _wait_until_claimed(fleet)
+        await _set_store_faults(fleet, outage=True)
+        assert (await booking)[1] == 'not-run'
+        await _set_store_faults(fleet)
 
         async def booked() -> bool:
             reply = await book(fleet, fleet.nodes[1], 'p', 'key-1')
@@ -151,70 +153,72 @@
 
 @pytest.mark.parametrize('step', ['claim', 'send', 'outcome'])
 async def test_node_killed_at_a_step(step: str) -> None:
-    """A node dies while it holds a claim, and the client tries elsewhere.
+    """A node is killed while it holds a claim, and another sends again.
 
-    Whether it died before or after it sent the booking can't be seen from
-    another node, so the booking is not sent again.
+    Another node can't determine whether the booking was sent before the kill,
+    so it must not send the booking again.
     """
-    async with run_fleet(make_shape(nodes=2, tweak=_make_short)) as fleet:
+    async with run_fleet(make_shape(nodes=2, tweak=_shorten_timeout)) as fleet:
         if step == 'claim':
-            await _faults(fleet, lose=1)
+            await _set_store_faults(fleet, lose=1)
         elif step == 'send':
             await set_booking_faults(fleet, slow=1.5)
         else:
             await set_booking_faults(fleet, slow_answer=1.5)
-        asking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
+        booking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
 
         async def claimed() -> bool:
             objects = await fleet.inspect(fleet.platform, 'objects')
-            held = any(key.startswith('claims/') for key in objects)
+            claim_exists = any(key.startswith('claims/') for key in objects)
             ran = bool(await count_runs(fleet))
-            return ran if step == 'outcome' else held
+            return ran if step == 'outcome' else claim_exists
 
         await fleet.wait_for(claimed)
         await fleet.processes['node-a'].kill()
-        assert (await asking)[1] == 'cut'
+        assert (await booking)[1] == 'cut'
         reply = await book(fleet, fleet.processes['node-b'], 'p', 'key-1')
         assert reply[1] == 'unknown'
         assert (await count_runs(fleet)).get('p', 0) <= 1
 
 
 async def test_holder_of_a_claim_is_paused() -> None:
-    """A node is paused after its claim and wakes when the client has left.
+    """A paused node sends its claimed booking after another node did.
 
-    It sends what it had claimed, late. Another node that had taken the
-    claim over in the meantime would have sent it too.
+    The node is paused after its claim and resumes when the client has given
+    up; then it sends the booking. No other node may take over the claim in
+    the meantime.
     """
-    async with run_fleet(make_shape(nodes=2, tweak=_make_short)) as fleet:
-        await _faults(fleet, lose=1)
-        asking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
-        await _wait_claimed(fleet)
+    async with run_fleet(make_shape(nodes=2, tweak=_shorten_timeout)) as fleet:
+        await _set_store_faults(fleet, lose=1)
+        booking = asyncio.create_task(book(fleet, fleet.nodes[0], 'p', 'key-1'))
+        await _wait_until_claimed(fleet)
         holder = fleet.processes['node-a']
         holder.send(signal.SIGSTOP)
-        await _faults(fleet)
+        await _set_store_faults(fleet)
         other = await book(fleet, fleet.processes['node-b'], 'p', 'key-1')
         assert other[1] == 'unknown'
         holder.send(signal.SIGCONT)
-        await asking
+        await booking
         assert await count_runs(fleet) == {'p': 1}
 
 
 async def test_store_and_services_go_silent() -> None:
-    """All open connections to the store and the services stop for good.
+    """A booking is lost on a pooled connection that no longer responds.
 
-    New ones work. The claim is made on a new connection after one call's
-    time, and the booking itself always goes on a connection just opened.
+    All open connections to the store and the services stop responding; new
+    ones work. The claim must be repeated on a new connection after one call's
+    timeout, and the booking always be sent on a connection just opened.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
 
         async def all_warm() -> bool:
             await book(fleet, node, 'warm')
-            seen = [
+            runs_by_service = [
                 await fleet.inspect(fleet.processes[name], 'runs')
                 for name in fleet.shape.plain
             ]
-            return all(one['runs'] for one in seen)
+            return all(runs['runs'] for runs in runs_by_service)
 
         await fleet.wait_for(all_warm)
         await fleet.silence(fleet.platform)
@@ -229,16 +233,16 @@
 
 
 async def test_claims_are_deleted_past_their_time() -> None:
-    """Bookings go on for months, and each leaves a record in the store.
+    """Records of bookings accumulate in the store.
 
-    Nothing else would ever delete it; past the time for which its answer is
-    kept, the node that settled it does.
+    Each booking leaves a record. The node that wrote the outcome must delete
+    it once the answer's retention time is over; nothing else does.
     """
 
-    def forget(tree: dict[str, Any]) -> None:
+    def shorten_retention(tree: dict[str, Any]) -> None:
         tree['routes']['/booking']['keep_answers'] = 0.5
 
-    async with run_fleet(make_shape(nodes=1, tweak=forget)) as fleet:
+    async with run_fleet(make_shape(nodes=1, tweak=shorten_retention)) as fleet:
         await book(fleet, fleet.nodes[0], 'p', 'key-1')
 
         async def deleted() -> bool:
@@ -249,16 +253,16 @@
 
 
 async def test_answer_too_large_to_keep() -> None:
-    """A booking's answer is larger than the store takes, and is asked again.
+    """A repeated booking gets a truncated answer.
 
-    Given back cut short it would look like the answer. The second caller is
-    told that it ran, and it runs no second time.
+    The first answer is larger than an object of the store may be. The repeat
+    must get an error that says that the booking ran, and must not run.
     """
     async with run_fleet(make_shape(nodes=2)) as fleet:
         body = 'x' * 950_000
         first = await book(fleet, fleet.nodes[0], body, 'key-1')
         assert first[:2] == (201, 'complete')
-        again = await book(fleet, fleet.nodes[1], body, 'key-1')
-        assert again[:2] == (409, 'failed')
-        assert again[2]['error']['code'] == 'answer_not_kept'
+        retry = await book(fleet, fleet.nodes[1], body, 'key-1')
+        assert retry[:2] == (409, 'failed')
+        assert retry[2]['error']['code'] == 'answer_not_kept'
         assert await count_runs(fleet) == {body: 1}
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -1,4 +1,4 @@
-"""When a caller is told "not run", it did not run."""
+"""A request that is answered with ``not-run`` did not run."""
 
 import asyncio
 from typing import Any
@@ -10,50 +10,54 @@
 _KEY = 'ward-1-key'
 
 
-def _make_short(tree: dict[str, Any]) -> None:
+def _shorten_limits(tree: dict[str, Any]) -> None:
     tree['services']['booking']['timeout'] = 1
     tree['policy'] |= {'queue': 1, 'queue_wait': 0.5}
     tree['accounts']['wards']['policy']['concurrent'] = 1
 
 
 async def test_refused_before_and_in_the_queue() -> None:
-    """A ward sends more than it may, and some of it is turned away.
+    """A request over its account's limits is refused after it ran partly.
 
-    Who is turned away is told so at once, with when to come back, and no
-    engine has run a layer of it.
+    One request exceeds the queue's length, another the queue's wait. Both
+    must get ``not-run`` and ``Retry-After``, and no engine may have run a
+    layer of them.
     """
-    shape = make_shape(nodes=1, tweak=_make_short)
+    shape = make_shape(nodes=1, tweak=_shorten_limits)
     async with run_fleet(shape) as fleet:
         node = fleet.nodes[0]
-        first = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, node, _KEY, 'first', 600, first)
+        running = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, node, _KEY, 'first', 600, running)
         )
-        await fleet.wait_until(lambda: first.text)
-        waiting, refused = await asyncio.gather(
+        await fleet.wait_until(lambda: running.text)
+        queued, refused = await asyncio.gather(
             ask(fleet.http, node, _KEY, 'second', 5),
             ask(fleet.http, node, _KEY, 'third', 5),
         )
-        told = sorted([waiting, refused], key=lambda one: one.error['code'])
-        assert [one.error['code'] for one in told] == [
+        answers = sorted(
+            [queued, refused], key=lambda answer: answer.error['code']
+        )
+        assert [answer.error['code'] for answer in answers] == [
             'queue-full',
             'queue-wait',
         ]
-        for one in told:
-            assert one.status == 429
-            assert one.headers['x-ryelatch-outcome'] == 'not-run'
-            assert int(one.headers['retry-after']) >= 1
-        asking.cancel()
-        request = first.headers['x-ryelatch-request']
+        for answer in answers:
+            assert answer.status == 429
+            assert answer.headers['x-ryelatch-outcome'] == 'not-run'
+            assert int(answer.headers['retry-after']) >= 1
+        request_task.cancel()
+        request = running.headers['x-ryelatch-request']
         ledger = await read_ledgers(fleet)
         assert {entry[0] for entry in ledger} == {request}
 
 
 async def test_booking_that_no_upstream_took() -> None:
-    """All booking services are down when a flood call arrives.
+    """A booking that no service received is answered with ``unknown``.
 
-    No connection could be opened, so nothing was sent: ``not-run`` is
-    certain, and the same key goes through once a service is back.
+    All booking services are down. No connection could be opened, so nothing
+    was sent and the answer must be ``not-run``; the same key must work once a
+    service is back.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         for name in fleet.shape.plain:
@@ -71,10 +75,11 @@
 
 
 async def test_booking_whose_answer_is_lost() -> None:
-    """The booking ran, and the connection broke before its answer came.
+    """A booking whose connection broke before its answer is sent again.
 
-    A second try could send two vans; ``not-run`` would make the dispatcher
-    send it again. The outcome is ``unknown``, with and without a key.
+    It has run, so a second try would book twice, and ``not-run`` would make
+    the client send it again. The outcome must be ``unknown``, with and
+    without a key.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
@@ -86,12 +91,13 @@
 
 
 async def test_booking_without_an_answer_in_time() -> None:
-    """The booking service takes the request and hangs.
+    """A booking that hangs in its service is answered with ``not-run``.
 
-    The caller is told ``unknown`` when the service's time is over, and a
-    read, which may be repeated, is sent to another upstream instead.
+    The service accepts the request and sends nothing. The answer must be
+    ``unknown`` after the service's timeout; a read may be repeated at another
+    upstream.
     """
-    shape = make_shape(nodes=1, tweak=_make_short)
+    shape = make_shape(nodes=1, tweak=_shorten_limits)
     async with run_fleet(shape) as fleet:
         node = fleet.nodes[0]
         await set_booking_faults(fleet, hang=1)
@@ -106,10 +112,9 @@
 
 
 async def test_no_chain_of_engines() -> None:
-    """All engines of a stage are gone, and none takes their place.
+    """A request is started although a stage has no engine left.
 
-    The node knows and sends nothing, so the caller is told ``not-run`` and
-    when to come back.
+    The node must send nothing, and answer ``not-run`` with ``Retry-After``.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
         await fleet.processes['engine-0a'].kill()
@@ -123,41 +128,41 @@
             )
 
         await fleet.wait_for(noticed)
-        told = await ask(fleet.http, fleet.nodes[0], _KEY, 'x', 5)
-        assert told.status == 503
-        assert told.headers['x-ryelatch-outcome'] == 'not-run'
-        assert told.headers['retry-after']
+        answer = await ask(fleet.http, fleet.nodes[0], _KEY, 'x', 5)
+        assert answer.status == 503
+        assert answer.headers['x-ryelatch-outcome'] == 'not-run'
+        assert answer.headers['retry-after']
         assert not await read_ledgers(fleet)
 
 
 async def test_engines_gone_in_the_middle() -> None:
-    """All engines of a stage die in the middle of an answer, for good.
+    """An answer that lost all engines of a stage looks complete.
 
-    Part of it ran, so the caller reads ``unknown`` at the end of the stream,
-    never an answer that only looks whole.
+    The engines are killed during the answer and not replaced. Part of it ran,
+    so the stream must end with ``unknown``.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEY, 'x', 500, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEY, 'x', 500, answer)
         )
-        await fleet.wait_until(lambda: heard.text)
+        await fleet.wait_until(lambda: answer.text)
         await fleet.processes['engine-1a'].kill()
-        await asking
-        assert heard.error['outcome'] == 'unknown'
-        assert not heard.done
+        await request_task
+        assert answer.error['outcome'] == 'unknown'
+        assert not answer.done
 
 
 async def test_node_killed() -> None:
-    """The node itself dies between a booking and its answer.
+    """A node is killed between a booking and its answer.
 
-    The caller sees a broken connection, which says nothing; asked again
-    with the same key through another node, it is told ``unknown``.
+    The client only sees a broken connection. A retry with the same key through
+    another node must get ``unknown`` and not run the booking again.
     """
-    shape = make_shape(nodes=2, tweak=_make_short)
+    shape = make_shape(nodes=2, tweak=_shorten_limits)
     async with run_fleet(shape) as fleet:
         await set_booking_faults(fleet, slow_answer=5)
-        asking = asyncio.create_task(
+        request_task = asyncio.create_task(
             book(fleet, fleet.nodes[0], 'van 4', 'key-4')
         )
 
@@ -166,7 +171,7 @@
 
         await fleet.wait_for(ran)
         await fleet.processes['node-a'].kill()
-        assert (await asking)[1] == 'cut'
+        assert (await request_task)[1] == 'cut'
         status, outcome, _ = await book(
             fleet, fleet.processes['node-b'], 'van 4', 'key-4'
         )
--- a/tests/promises/test_repair.py
+++ b/tests/promises/test_repair.py
@@ -1,4 +1,4 @@
-"""Layers of dead engines are given to others, under a lease."""
+"""Layers of crashed engines are assigned to others, under a lease."""
 
 import asyncio
 import signal
@@ -21,51 +21,52 @@
 
 
 async def test_all_engines_of_a_stage_die() -> None:
-    """Both engines of one stage die in the middle of an answer.
+    """An answer is lost when both engines of one stage are killed.
 
-    No chain is left. A node takes the lease, gives the layers to an engine
-    that others can spare, and the answer goes on where it was.
+    No chain is left. A node must take the lease and assign the layers to a
+    redundant engine; the answer then continues where it stopped.
     """
     async with run_fleet(make_shape()) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, answer)
         )
-        await fleet.wait_until(lambda: len(heard.text) > 10)
+        await fleet.wait_until(lambda: len(answer.text) > 10)
         await fleet.processes['engine-1a'].kill()
         await fleet.processes['engine-1b'].kill()
-        await asking
-        assert heard.text == complete_chat('wool', 12, 300)
-        orders = await list_events(fleet, 'order-sent')
-        assert [order['detail']['layers'] for order in orders] == ['4-8']
-        assert orders[0]['detail']['reason']
+        await request_task
+        assert answer.text == complete_chat('wool', 12, 300)
+        commands = await list_events(fleet, 'order-sent')
+        assert [command['detail']['layers'] for command in commands] == ['4-8']
+        assert commands[0]['detail']['reason']
         await check_layers_once(fleet)
 
 
 async def test_joining_engine_is_put_to_use() -> None:
-    """A new VM joins without warning; its engine holds no layers yet.
+    """An engine without layers on a new VM stays unused.
 
-    It is told to hold those of the weakest stage, and answers run on it.
+    It must get the command to load the layers of the weakest stage, and
+    answers must run on it.
     """
     async with run_fleet(make_shape(replicas=1)) as fleet:
-        spare = EngineSpec('engine-new', 'hcm-q1', 0, 0)
-        engine = await fleet.start_engine(spare)
+        empty_engine = EngineSpec('engine-new', 'hcm-q1', 0, 0)
+        engine = await fleet.start_engine(empty_engine)
 
-        async def ordered() -> bool:
-            seen = await fleet.inspect(engine, 'ledger')
-            return bool(seen['orders'])
+        async def received_command() -> bool:
+            ledger = await fleet.inspect(engine, 'ledger')
+            return bool(ledger['orders'])
 
-        await fleet.wait_for(ordered)
+        await fleet.wait_for(received_command)
         await fleet.wait_connected(4)
-        heard = [
+        answers = [
             await ask(fleet.http, fleet.nodes[0], _KEY, f'{index}', 20)
             for index in range(6)
         ]
-        for index, one in enumerate(heard):
-            assert one.text == complete_chat(f'{index}', 12, 20)
+        for index, answer in enumerate(answers):
+            assert answer.text == complete_chat(f'{index}', 12, 20)
 
 
-async def _read_holder(fleet: Fleet) -> str:
+async def _read_lease_holder(fleet: Fleet) -> str:
     url = f'{fleet.platform.url}/v1/objects/leases/repair/textile-care'
     headers = {'Authorization': f'Bearer {PLATFORM_TOKEN}'}
     async with fleet.http.get(url, headers=headers) as response:
@@ -76,10 +77,11 @@
 
 
 async def test_holder_of_the_lease_is_paused() -> None:
-    """The node that holds the repair lease is paused before its order.
+    """A node sends a command after its repair lease has expired.
 
-    Another node takes the lease after its time to live and mends the stage.
-    The first wakes, finds that the lease is not its own, and orders nothing.
+    The lease holder is paused before its command. Another node takes the
+    expired lease and repairs the stage. The first resumes, finds that it no
+    longer holds the lease, and must send no command.
     """
     async with run_fleet(make_shape()) as fleet:
         faults = {'lose': 1, 'match': 'leases'}
@@ -88,25 +90,25 @@
         await fleet.processes['engine-1b'].kill()
 
         async def taken() -> bool:
-            return bool(await _read_holder(fleet))
+            return bool(await _read_lease_holder(fleet))
 
         await fleet.wait_for(taken)
-        first = await _read_holder(fleet)
-        holder = fleet.processes[first]
-        holder.send(signal.SIGSTOP)
-        other = next(node for node in fleet.nodes if node is not holder)
+        first_holder = await _read_lease_holder(fleet)
+        paused = fleet.processes[first_holder]
+        paused.send(signal.SIGSTOP)
+        other_node = next(node for node in fleet.nodes if node is not paused)
 
-        async def mended() -> bool:
-            status = await fleet.status(other)
+        async def repaired() -> bool:
+            status = await fleet.status(other_node)
             return any(
                 upstream.get('layers') == '4-8' and upstream['connected']
                 for upstream in status['upstreams']
             )
 
-        await fleet.wait_for(mended)
-        holder.send(signal.SIGCONT)
-        heard = await ask(fleet.http, holder, _KEY, 'wool', 30)
-        assert heard.text == complete_chat('wool', 12, 30)
+        await fleet.wait_for(repaired)
+        paused.send(signal.SIGCONT)
+        answer = await ask(fleet.http, paused, _KEY, 'wool', 30)
+        assert answer.text == complete_chat('wool', 12, 30)
         events = await list_events(fleet, 'order-sent')
-        assert first not in {event['process'] for event in events}
+        assert first_holder not in {event['process'] for event in events}
         assert {event['detail']['fence'] for event in events} == {'2'}
--- a/tests/promises/test_slow_engines.py
+++ b/tests/promises/test_slow_engines.py
@@ -1,4 +1,4 @@
-"""Engines and links that become slow without failing."""
+"""Engines that become slow without failing."""
 
 import asyncio
 
@@ -11,25 +11,27 @@
 
 
 async def test_answers_leave_an_engine_that_crawls() -> None:
-    """One engine's steps take fifty times as long, and nothing fails.
+    """Answers stay on an engine whose steps take fifty times as long.
 
-    Answers on it would crawl to their deadline. They move to its peer, and
-    new ones avoid it.
+    Nothing fails, but they would run into their deadline. They must move to
+    another engine of its stage.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = [Heard() for _ in range(6)]
-        asking = [
+        answers = [Heard() for _ in range(6)]
+        request_tasks = [
             asyncio.create_task(
-                ask(fleet.http, fleet.nodes[0], _KEY, f'{index}', 300, one)
+                ask(fleet.http, fleet.nodes[0], _KEY, f'{index}', 300, answer)
             )
-            for index, one in enumerate(heard)
+            for index, answer in enumerate(answers)
         ]
-        await fleet.wait_until(lambda: all(len(one.text) > 20 for one in heard))
+        await fleet.wait_until(
+            lambda: all(len(answer.text) > 20 for answer in answers)
+        )
         slow = fleet.processes['engine-1a']
         await fleet.control(slow, 'state', {'step_ms': 100})
-        await asyncio.gather(*asking)
-        for index, one in enumerate(heard):
-            assert one.text == complete_chat(f'{index}', 12, 300)
+        await asyncio.gather(*request_tasks)
+        for index, answer in enumerate(answers):
+            assert answer.text == complete_chat(f'{index}', 12, 300)
         moved = await list_events(fleet, 'chain-moved')
         assert {event['detail']['upstream'] for event in moved} == {'engine-1a'}
         await check_layers_once(fleet)
--- a/tests/promises/test_zones.py
+++ b/tests/promises/test_zones.py
@@ -1,4 +1,4 @@
-"""An availability zone is lost, and nodes lose each other."""
+"""An availability zone is lost, or nodes lose contact with each other."""
 
 import asyncio
 import signal
@@ -18,37 +18,39 @@
 
 
 async def test_zone_is_lost_in_the_middle_of_answers() -> None:
-    """Every VM of one zone dies at once: engines, booking and a node.
+    """Answers or bookings fail when every VM of a zone is killed at once.
 
-    A node of a zone without engines has answers on those that are lost; they
-    go on over engines elsewhere, and bookings go to the services that are
-    left, each once.
+    A node of a zone without engines has answers on the killed engines. They
+    must continue on engines of other zones, and each booking must run once,
+    in a remaining service.
     """
     async with run_fleet(make_shape()) as fleet:
         node = fleet.processes['node-c']
-        heard = [Heard() for _ in range(8)]
-        asking = [
+        answers = [Heard() for _ in range(8)]
+        request_tasks = [
             asyncio.create_task(
-                ask(fleet.http, node, _KEY, f'{index}', 150, one)
+                ask(fleet.http, node, _KEY, f'{index}', 150, answer)
             )
-            for index, one in enumerate(heard)
+            for index, answer in enumerate(answers)
         ]
-        await fleet.wait_until(lambda: all(len(one.text) > 9 for one in heard))
-        lost = [
+        await fleet.wait_until(
+            lambda: all(len(answer.text) > 9 for answer in answers)
+        )
+        kills = [
             fleet.processes[name].kill()
             for name, vm in fleet.vms.items()
             if vm['zone'] == 'hcm-q1'
         ]
-        await asyncio.gather(*lost)
+        await asyncio.gather(*kills)
         replies = [
             await book(fleet, node, f'van {index}', f'key-{index}')
             for index in range(6)
         ]
         assert {reply[:2] for reply in replies} == {(201, 'complete')}
         assert set((await count_runs(fleet)).values()) == {1}
-        await asyncio.gather(*asking)
-        for index, one in enumerate(heard):
-            assert one.text == complete_chat(f'{index}', 12, 150)
+        await asyncio.gather(*request_tasks)
+        for index, answer in enumerate(answers):
+            assert answer.text == complete_chat(f'{index}', 12, 150)
         await check_layers_once(fleet)
         assert await list_events(fleet, 'chain-lost')
 
@@ -59,10 +61,10 @@
 
 
 async def test_peer_goes_silent_and_comes_back() -> None:
-    """A node is paused: its streams to peers stay open and say nothing.
+    """The demand of a paused node is counted without end.
 
-    Its demand would be counted for ever. Peers drop it after some heartbeats
-    without a word, and have it back when it wakes.
+    Its connections to peers stay open and carry nothing. Peers must drop it
+    after some missing heartbeats, and accept it again when it resumes.
     """
     async with run_fleet(make_shape(replicas=1)) as fleet:
         node = fleet.nodes[0]
@@ -77,7 +79,7 @@
         assert events[-1]['detail']['reason'] == 'silent'
         paused.send(signal.SIGCONT)
 
-        async def back() -> bool:
+        async def reconnected() -> bool:
             return 'node-b' in await _list_peers(fleet, node)
 
-        await fleet.wait_for(back)
+        await fleet.wait_for(reconnected)
