--- a/tests/promises/test_slow_engines.py
+++ b/tests/promises/test_slow_engines.py
@@ -14,7 +14,7 @@
     """Answers stay on an engine whose steps take fifty times as long.
 
     Nothing fails, but they would run into their deadline. They must move to
-    another engine of its stage.
+    another engine of its stage, and new answers must avoid the slow one.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         answers = [Heard() for _ in range(6)]
