--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the failures listed in KNOWN-RED.txt pass; ``.ci/run`` prints them."""
+"""Marks tests listed in KNOWN-RED.txt as xfail; ``.ci/run`` prints them."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 _KNOWN_RED = Path(__file__).parent.parent / 'KNOWN-RED.txt'
 
 
-def _read_known() -> set[str]:
+def _read_known_failures() -> set[str]:
     if not _KNOWN_RED.exists():
         return set()
     lines = _KNOWN_RED.read_text().splitlines()
@@ -15,8 +15,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark the tests that are known to fail."""
-    known = _read_known()
+    """Mark the tests listed in ``KNOWN-RED.txt`` as expected failures."""
+    known_failures = _read_known_failures()
     for item in items:
-        if item.nodeid in known:
+        if item.nodeid in known_failures:
             item.add_marker(pytest.mark.xfail(strict=False))
--- a/tests/fake_clock.py
+++ b/tests/fake_clock.py
@@ -1,16 +1,16 @@
-"""A clock for tests of decisions."""
+"""Clock for tests that control the time."""
 
 
 class FakeClock:
-    """A clock that a test moves."""
+    """Clock whose time, in seconds, a test sets through ``now``."""
 
     def __init__(self) -> None:
         self.now = 100.0
 
     def monotonic(self) -> float:
-        """Read it."""
+        """Return the set time."""
         return self.now
 
     def wall(self) -> float:
-        """Read it."""
+        """Return the set time."""
         return self.now
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,8 +1,8 @@
-"""Whole sessions, as the time line that an operator reads.
+"""Complete sessions, compared as the timeline that an operator reads.
 
-The files beside this one hold what the command line showed, without times,
-ports and marks. Of engines that are alike any may be taken, so each is named
-by its stage, and one that was lost or leaves is marked.
+The snapshots leave out times, ports and generated identifiers. Any engine of
+a stage may be chosen, so each is shown by its stage, and one that was lost or
+is leaving is marked with ``(away)``.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from fleet.fleet import Fleet, make_shape, run_fleet
 
 _KEY = 'ward-1-key'
-_HIDDEN = (
+_REPLACEMENTS = (
     (r'node-([a-z])-[0-9a-f]{6}-\d+', r'request-of-\1'),
     (r'claims/[0-9a-f]{64}', 'claims/KEY'),
     (r'(port|peers)=\d+', r'\1=PORT'),
@@ -28,24 +28,28 @@
 
 
 def normalise(lines: list[str]) -> str:
-    """Take out what differs from run to run."""
+    """Replace what differs from run to run."""
     text = '\n'.join(lines)
-    for pattern, hidden in _HIDDEN:
-        text = re.sub(pattern, hidden, text)
+    for pattern, replacement in _REPLACEMENTS:
+        text = re.sub(pattern, replacement, text)
     away = set(re.findall(r'upstream=(engine-\d[a-z])', text))
     return re.sub(
         r'(engine-\d)[a-z]',
-        lambda found: f'{found[1]}{"(away)" if found[0] in away else ""}',
+        lambda match: f'{match[1]}{"(away)" if match[0] in away else ""}',
         text,
     )
 
 
 async def read_session(
     fleet: Fleet,
-    wanted: set[str],
+    event_names: set[str],
     **fields: str,
 ) -> str:
-    """Read the merged time line of some kinds of events."""
+    """Read the merged timeline of some kinds of events.
+
+    :param event_names: names of the events to keep.
+    :param fields: filters of the timeline query.
+    """
     query = '&'.join(f'{name}={text}' for name, text in fields.items())
     lines = []
     for node in fleet.nodes:
@@ -53,21 +57,21 @@
             node, f'timeline?{query}'
         )
         lines += [
-            (event['stamp'], _draw(event))
+            (event['stamp'], _format_event(event))
             for event in events
-            if event['name'] in wanted
+            if event['name'] in event_names
         ]
     return normalise([line for _, line in sorted(lines)])
 
 
-def _draw(event: dict[str, Any]) -> str:
+def _format_event(event: dict[str, Any]) -> str:
     detail = ' '.join(
         f'{name}={text}' for name, text in event['detail'].items()
     )
     return f'{event["process"]} RL{event["number"]} {event["name"]} {detail}'
 
 
-_ANSWER = {
+_ANSWER_EVENTS = {
     'request-admitted',
     'chain-chosen',
     'chain-lost',
@@ -77,23 +81,31 @@
 
 
 async def test_answer_that_loses_a_stage(snapshot: SnapshotAssertion) -> None:
-    """Promises 1 and 2: an answer loses a stage and ends whole."""
+    """Promises 1 and 2: an answer loses an engine and is still complete."""
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 60, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 60, answer)
         )
-        await fleet.wait_until(lambda: len(heard.text) > 20)
-        request = heard.headers['x-ryelatch-request']
+        await fleet.wait_until(lambda: len(answer.text) > 20)
+        request = answer.headers['x-ryelatch-request']
         chain = await find_chain(fleet, request)
         await fleet.processes[chain[1]].kill()
-        await asking
-        assert await read_session(fleet, _ANSWER, request=request) == snapshot
+        await request_task
+        assert (
+            await read_session(fleet, _ANSWER_EVENTS, request=request)
+            == snapshot
+        )
 
 
 async def test_booking_sent_twice(snapshot: SnapshotAssertion) -> None:
-    """Promises 3 and 4: lost without a key, and repeated with one."""
-    wanted = {'claim-made', 'claim-found', 'claim-settled', 'request-ended'}
+    """Promises 3 and 4: a lost booking without key, a repeated one with key."""
+    event_names = {
+        'claim-made',
+        'claim-found',
+        'claim-settled',
+        'request-ended',
+    }
     async with run_fleet(make_shape(nodes=2)) as fleet:
         one, two = fleet.nodes
         await set_booking_faults(fleet, lose=1)
@@ -107,87 +119,91 @@
 
         await fleet.wait_for(settled)
         await book(fleet, two, 'van', 'key-1')
-        assert await read_session(fleet, wanted) == snapshot
+        assert await read_session(fleet, event_names) == snapshot
 
 
 async def test_engine_says_that_it_leaves(snapshot: SnapshotAssertion) -> None:
-    """Promise 5: an engine leaves while an answer runs on it."""
-    wanted = _ANSWER | {'upstream-leaving'}
+    """Promise 5: an engine announces that it leaves during an answer."""
+    event_names = _ANSWER_EVENTS | {'upstream-leaving'}
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 200, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 200, answer)
         )
-        await fleet.wait_until(lambda: len(heard.text) > 20)
-        request = heard.headers['x-ryelatch-request']
+        await fleet.wait_until(lambda: len(answer.text) > 20)
+        request = answer.headers['x-ryelatch-request']
         chain = await find_chain(fleet, request)
         leaving = fleet.processes[chain[1]]
         await fleet.control(leaving, 'state', {'leaving': True})
-        await asking
+        await request_task
         await ask(fleet.http, fleet.nodes[0], _KEY, 'silk', 5)
-        assert await read_session(fleet, wanted) == snapshot
+        assert await read_session(fleet, event_names) == snapshot
 
 
 async def test_stop_during_an_answer(snapshot: SnapshotAssertion) -> None:
     """Promise 6: a node is stopped while it streams an answer."""
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, node, _KEY, 'wool', 120, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, node, _KEY, 'wool', 120, answer)
         )
-        await fleet.wait_until(lambda: len(heard.text) > 20)
+        await fleet.wait_until(lambda: len(answer.text) > 20)
         code = await node.stop()
-        await asking
+        await request_task
         lines = [
             line.split('] ', 1)[1]
             for line in node.log
             if re.search('RL110|RL120|RL130', line)
         ]
-        lines.append(f'exit {code}, {len(heard.text)} characters')
+        lines.append(f'exit {code}, {len(answer.text)} characters')
         assert normalise(lines) == snapshot
 
 
 async def test_two_operators(snapshot: SnapshotAssertion) -> None:
-    """Promise 7: one edit is accepted, the other told what changed."""
+    """Promise 7: of two edits one is applied, the other gets the conflict."""
 
-    def weigh(weight: int) -> Any:
+    def set_weight(weight: int) -> Any:
         def tweak(tree: dict[str, Any]) -> None:
             tree['accounts']['wards']['policy']['weight'] = weight
 
         return tweak
 
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        told = []
+        shown = []
         for weight in (3, 4):
-            path = fleet.write_settings(weigh(weight), f'desk-{weight}.yaml')
+            path = fleet.write_settings(
+                set_weight(weight), f'desk-{weight}.yaml'
+            )
             code, output, errors = await fleet.run_cli(
                 'settings', 'apply', str(path), '--base', '1', '-m', 'weight'
             )
             first = output.splitlines()[:1]
-            told += [f'exit {code}', *first, *errors.splitlines()]
-        lines = [re.sub('by .* changed', 'by WHO changed', one) for one in told]
+            shown += [f'exit {code}', *first, *errors.splitlines()]
+        lines = [
+            re.sub('by .* changed', 'by WHO changed', one) for one in shown
+        ]
         session = await read_session(fleet, {'settings-applied'})
         assert '\n'.join([*lines, session]) == snapshot
 
 
 async def test_stage_without_engines(snapshot: SnapshotAssertion) -> None:
-    """A stage loses all its engines, and the node mends it."""
-    wanted = {'lease-taken', 'order-sent', 'lease-lost'}
+    """A stage loses all its engines, and the node repairs it."""
+    event_names = {'lease-taken', 'order-sent', 'lease-lost'}
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
-        asking = asyncio.create_task(
-            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, heard)
+        answer = Heard()
+        request_task = asyncio.create_task(
+            ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, answer)
         )
-        await fleet.wait_until(lambda: len(heard.text) > 20)
+        await fleet.wait_until(lambda: len(answer.text) > 20)
         for name in ('engine-1a', 'engine-1b'):
             await fleet.processes[name].kill()
-        await asking
+        await request_task
 
         async def released() -> bool:
             events = await fleet.ask_admin(fleet.nodes[0], 'timeline')
             return 'lease-lost' in {event['name'] for event in events}
 
         await fleet.wait_for(released)
-        session = await read_session(fleet, wanted)
+        session = await read_session(fleet, event_names)
         assert re.sub(r'engine-\d', 'DONOR', session) == snapshot
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,7 +1,8 @@
-"""Takes off one guard at a time and keeps what its test then says.
+"""Removes one guard at a time, and records how its test then fails.
 
-A test that stays green without the guard it is for proves nothing. This runs
-on a copy of the tree; the result goes into the page of proofs.
+A guard is a piece of code that a test protects; a test that passes without
+its guard proves nothing. Each run uses a copy of the tree; the results go into
+a page of the documentation.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 
 _ROOT = Path(__file__).parent.parent
 _RESULT = _ROOT / 'benchmarks' / 'results' / 'guards.json'
-_AT_ONCE = 4
-_SECONDS = 240
+_CONCURRENT_RUNS = 4
+_TIMEOUT_SECONDS = 240
 _SOURCES = (
     'packages/ryelatch-core/src',
     'packages/ryelatch-node/src',
@@ -28,32 +29,34 @@
 )
 
 
-def take_off(copy: Path, row: dict[str, Any]) -> None:
-    """Take a guard off in a copy of the tree.
+def remove_guard(copy: Path, row: dict[str, Any]) -> None:
+    """Remove a guard in a copy of the tree.
 
-    :raises ValueError: if the guard is not where the list says.
+    :param row: of ``guards.yaml``.
+    :raises ValueError: if its file doesn't contain the guard.
     """
     path = copy / 'packages' / row['file']
     text = path.read_text()
     if row['old'] not in text:
-        raise ValueError(f'no such guard: {row["failure"]}')
+        raise ValueError(f'{row["file"]} lacks the guard: {row["failure"]}')
     text = text.replace(row['old'], row['new'])
     if 'also' in row:
         text = text.replace(*row['also'])
     path.write_text(text)
 
 
-async def run_without(row: dict[str, Any], turn: asyncio.Semaphore) -> str:
+async def run_without(row: dict[str, Any], limiter: asyncio.Semaphore) -> str:
     """Run a test without its guard.
 
-    :returns: the line that tells of the failure; empty if it passed.
+    :param limiter: limits the number of concurrent runs.
+    :returns: the line that describes the failure; empty if the test passed.
     """
-    async with turn:
+    async with limiter:
         with tempfile.TemporaryDirectory() as folder:
             copy = Path(folder) / 'copy'
             ignored = shutil.ignore_patterns('.venv', '.git', 'results')
             shutil.copytree(_ROOT, copy, ignore=ignored)
-            take_off(copy, row)
+            remove_guard(copy, row)
             paths = os.pathsep.join(str(copy / part) for part in _SOURCES)
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -65,42 +68,47 @@
                 stderr=asyncio.subprocess.STDOUT,
             )
             try:
-                async with asyncio.timeout(_SECONDS):
+                async with asyncio.timeout(_TIMEOUT_SECONDS):
                     output, _ = await child.communicate()
             except TimeoutError:
                 child.kill()
                 return 'no end within the time limit'
-    return _find_red(output.decode(), child.returncode)
+    return _find_failure(output.decode(), child.returncode)
 
 
-def _find_red(output: str, code: int | None) -> str:
+def _find_failure(output: str, code: int | None) -> str:
     if code == 0:
         return ''
     lines = re.findall(r'^E {2,}(\S.*)$', output, re.MULTILINE)
-    wanted = [line for line in lines if 'CancelledError' not in line]
-    return (wanted or lines or [f'exit code {code}'])[0][:110]
+    selected = [line for line in lines if 'CancelledError' not in line]
+    return (selected or lines or [f'exit code {code}'])[0][:110]
 
 
 async def main() -> int:
-    """Run all; 1 if a test stayed green without its guard."""
+    """Run all tests without their guards.
+
+    :returns: exit code; 1 if a test passed without its guard.
+    """
     groups = yaml.safe_load((Path(__file__).parent / 'guards.yaml').read_text())
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ''
+    selected = sys.argv[1] if len(sys.argv) > 1 else ''
     rows = [
         row
         for group in groups
         for row in group['rows']
-        if wanted in row['test']
+        if selected in row['test']
     ]
-    turn = asyncio.Semaphore(_AT_ONCE)
-    reds = await asyncio.gather(*(run_without(row, turn) for row in rows))
-    known = json.loads(_RESULT.read_text()) if _RESULT.exists() else {}
-    for row, red in zip(rows, reds, strict=True):
-        known[row['test']] = red
-        print(f'{"RED  " if red else "GREEN"} {row["test"]}: {red}')
-    _RESULT.write_text(f'{json.dumps(known, indent=1, sort_keys=True)}\n')
-    green = sum(not red for red in reds)
-    print(f'{len(reds) - green} red without their guard, {green} green')
-    return 1 if green else 0
+    limiter = asyncio.Semaphore(_CONCURRENT_RUNS)
+    failures = await asyncio.gather(
+        *(run_without(row, limiter) for row in rows)
+    )
+    results = json.loads(_RESULT.read_text()) if _RESULT.exists() else {}
+    for row, failure in zip(rows, failures, strict=True):
+        results[row['test']] = failure
+        print(f'{"RED  " if failure else "GREEN"} {row["test"]}: {failure}')
+    _RESULT.write_text(f'{json.dumps(results, indent=1, sort_keys=True)}\n')
+    passed = sum(not failure for failure in failures)
+    print(f'{len(failures) - passed} red without their guard, {passed} green')
+    return 1 if passed else 0
 
 
 if __name__ == '__main__':
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -1,4 +1,4 @@
-"""Loads the scripts beside the packages, for tests of them."""
+"""Imports scripts from ``benchmarks``, for their tests."""
 
 import sys
 from importlib import util
@@ -9,12 +9,12 @@
 
 
 def load_script(name: str) -> ModuleType:
-    """Load a script of the folder ``benchmarks``."""
+    """Import a script of the folder ``benchmarks`` by its name."""
     spec = util.spec_from_file_location(name, _FOLDER / f'{name}.py')
     assert spec is not None
     assert spec.loader is not None
     module = util.module_from_spec(spec)
-    # Data classes look their module up as they are made.
+    # A dataclass looks up its module in ``sys.modules`` when it is defined.
     sys.modules[name] = module
     spec.loader.exec_module(module)
     return module
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real nodes, faults from outside, promises checked."""
+"""Randomized soak test: node processes, injected faults, checked promises."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds by hand and tells what broke: ``python -m soak --seeds 50``."""
+"""Runs seeds and prints broken promises: ``python -m soak --seeds 50``."""
 
 import argparse
 import asyncio
@@ -6,30 +6,32 @@
 import sys
 from pathlib import Path
 
-from soak.play import play_seed
+from soak.play import run_seed
 
 
 def _parse() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog='soak')
-    parser.add_argument('--first', type=int, help='the first seed; or random')
+    parser.add_argument(
+        '--first', type=int, help='the first seed; random by default'
+    )
     parser.add_argument('--seeds', type=int, default=10)
     parser.add_argument('--seconds', type=float, default=10)
     parser.add_argument('--folder', type=Path, default=Path('build/soak'))
     parser.add_argument(
         '--crashing',
         action='store_true',
-        help='with a request that ends replicas',
+        help='with a request that crashes replicas',
     )
     parser.add_argument(
         '--asking',
         action='store_true',
-        help='with replicas that name limits and ask for rest',
+        help='with replicas that announce rate limits and ask for backoff',
     )
     return parser.parse_args()
 
 
 def main() -> int:
-    """Play the seeds that the command line names."""
+    """Run the seeds given on the command line."""
     options = _parse()
     first = options.first or random.randrange(1_000_000)
     failed = 0
@@ -37,7 +39,7 @@
         folder = options.folder / str(seed)
         folder.mkdir(parents=True, exist_ok=True)
         outcome = asyncio.run(
-            play_seed(
+            run_seed(
                 seed,
                 options.seconds,
                 folder,
--- a/tests/soak/asking.py
+++ b/tests/soak/asking.py
@@ -1,4 +1,4 @@
-"""Replicas that say in their answers how much they take."""
+"""Replicas that announce rate limits and backoffs in their answers."""
 
 import asyncio
 import random
@@ -12,75 +12,79 @@
 from soak.world import World
 from standins.replica import ReplicaStandIn
 
-LIMIT = 2.0
-SPAN_SECONDS = 4.0
-NOTICE_SECONDS = 0.5
+LIMIT_PER_SECOND = 2.0
+WINDOW_SECONDS = 4.0
+LIMIT_NOTICE_SECONDS = 0.5
 
-_PRESS_SECONDS = 8.0
+_OVERLOAD_SECONDS = 8.0
 _PAUSE_SECONDS = 0.03
-_SPELL_SECONDS = (0.5, 2.0)
+_EPISODE_SECONDS = (0.5, 2.0)
 
-_Spell = Callable[[ReplicaStandIn], Awaitable[None]]
+_Episode = Callable[[ReplicaStandIn], Awaitable[None]]
 
 
 @dataclass(eq=False)
-class AskingReplicas:
-    """Lets replicas name limits and ask for rest, amid the faults."""
+class ThrottledReplicas:
+    """Makes replicas announce limits and ask for backoff during the faults."""
 
     world: World
     clients: Clients
-    chance: random.Random
+    random_source: random.Random
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
 
     def start(self) -> None:
-        """Begin to let them ask."""
+        """Start changing limits and backoffs of random replicas."""
         self._tasks = [
-            asyncio.create_task(self._ask(spell))
-            for spell in (self._limit, self._rest)
+            asyncio.create_task(self._repeat(episode))
+            for episode in (self._limit, self._back_off)
         ]
 
-    async def press(self) -> None:
-        """Press on a replica in need, once the nodes are well."""
+    async def overload(self) -> None:
+        """Send more to a limited replica than its limit, after the recovery."""
         loop = asyncio.get_running_loop()
-        replica = self.chance.choice(self._list_plain())
-        replica.says = {'Server-Limit': f'{LIMIT}'}
-        self.world.limited = (replica.name, loop.time())
+        replica = self.random_source.choice(self._list_non_model())
+        replica.says = {'Server-Limit': f'{LIMIT_PER_SECOND}'}
+        self.world.limited_replica = (replica.name, loop.time())
         async with ClientSession() as http, asyncio.TaskGroup() as group:
-            ends = loop.time() + _PRESS_SECONDS
-            while loop.time() < ends:
-                node = self.chance.choice(self.world.nodes)
+            deadline = loop.time() + _OVERLOAD_SECONDS
+            while loop.time() < deadline:
+                node = self.random_source.choice(self.world.nodes)
                 group.create_task(self.clients.send(http, node, 'ping', KEY))
                 await asyncio.sleep(_PAUSE_SECONDS)
         replica.says = {}
 
     async def stop(self) -> None:
-        """Let them ask no more."""
+        """Stop the changes, and clear the headers of all replicas."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for replica in self.world.replicas:
             replica.says = {}
 
-    def _list_plain(self) -> list[ReplicaStandIn]:
-        present = self.world.list_present()
-        return [one for one in present if not one.accelerator]
+    def _list_non_model(self) -> list[ReplicaStandIn]:
+        registered = self.world.list_registered()
+        return [replica for replica in registered if not replica.accelerator]
 
-    async def _ask(self, spell: _Spell) -> None:
+    async def _repeat(self, episode: _Episode) -> None:
         while True:
-            replica = self.chance.choice(self.world.list_present())
-            await spell(replica)
+            replica = self.random_source.choice(self.world.list_registered())
+            await episode(replica)
 
     async def _limit(self, replica: ReplicaStandIn) -> None:
-        replica.says = {'Server-Limit': f'{self.chance.uniform(0, 9):.2f}'}
-        await asyncio.sleep(self.chance.uniform(*_SPELL_SECONDS))
+        replica.says = {
+            'Server-Limit': f'{self.random_source.uniform(0, 9):.2f}'
+        }
+        await asyncio.sleep(self.random_source.uniform(*_EPISODE_SECONDS))
         replica.says = {}
 
-    async def _rest(self, replica: ReplicaStandIn) -> None:
-        replica.says = {'Retry-After': f'{self.chance.uniform(0, 3):.2f}'}
+    async def _back_off(self, replica: ReplicaStandIn) -> None:
+        replica.says = {
+            'Retry-After': f'{self.random_source.uniform(0, 3):.2f}'
+        }
         replica.refuse = 503
         try:
-            await asyncio.sleep(self.chance.uniform(*_SPELL_SECONDS))
+            await asyncio.sleep(self.random_source.uniform(*_EPISODE_SECONDS))
         finally:
-            # Also where this is cancelled, or it would refuse for good.
+            # Also on cancellation; the replica would refuse for ever.
             replica.refuse = 0
         replica.says = {}
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,53 +1,53 @@
-"""The promises that a soak checks, from what clients and replicas saw."""
+"""Checks of the promises, from what clients and replicas recorded."""
 
 import itertools
 from collections import Counter
 from collections.abc import Callable, Iterator
 
 from fleet.running import expect_events
-from soak.asking import LIMIT, NOTICE_SECONDS, SPAN_SECONDS
+from soak.asking import LIMIT_NOTICE_SECONDS, LIMIT_PER_SECOND, WINDOW_SECONDS
 from soak.clients import Attempt, Clients
-from soak.crashing import CRASHING_KINDS, find_digest
-from soak.world import CRASHING, EVENTS, SPARE_KEY, World
+from soak.crashing import CRASHING_KINDS, compute_digest
+from soak.world import CRASHING_BODY, SPARE_KEY, STREAM_EVENTS, World
 from standins.replica import Run
 
 REVOKE_SECONDS = 5.0
-"""The bound on revoked keys that the nodes are given by default."""
+"""Time by which nodes refuse a revoked key; the default of their settings."""
 
 LEAVING_SECONDS = 6.0
-"""When a replica that leaves must get no more, with the store in trouble."""
+"""Time by which a leaving replica gets no requests, despite store faults."""
 
-MOST_RETRIES = 3
-"""Replicas that may run a request under which three have ended."""
+MAX_CRASHING_RUNS = 3
+"""Replicas that may still run a request that has crashed three."""
 
 _NOT_RUN = frozenset((408, 421, 429, 503))
-_CRASHES = frozenset(('task-crashed', 'exchange-crashed', 'no-json'))
-_LEAST_SERVED = 0.9
+_CRASH_EVENTS = frozenset(('task-crashed', 'exchange-crashed', 'no-json'))
+_MIN_SERVED_RATIO = 0.9
 
 Check = Callable[[World, Clients], Iterator[str]]
 
 
 def check_answers(world: World, clients: Clients) -> Iterator[str]:
-    """Whole answers are right and the client's own; others are prefixes."""
-    streams = [expect_events(count) for count in range(EVENTS + 1)]
+    """Complete answers are correct; incomplete streams are prefixes of them."""
+    streams = [expect_events(count) for count in range(STREAM_EVENTS + 1)]
     for attempt in clients.attempts:
         if attempt.status != 200:
             continue
         if attempt.kind == 'plan':
-            good = attempt.body == streams[-1]
-            if not attempt.whole:
-                good = streams[-1].startswith(attempt.body)
+            correct = attempt.body == streams[-1]
+            if not attempt.complete:
+                correct = streams[-1].startswith(attempt.body)
         else:
             name = attempt.signature.removeprefix('signed-')
-            good = not attempt.whole or attempt.body == (
+            correct = not attempt.complete or attempt.body == (
                 f'answer of {name}'.encode()
             )
-        if not good:
+        if not correct:
             yield f'wrong answer: {attempt}'
 
 
 def check_runs(world: World, clients: Clients) -> Iterator[str]:
-    """Bookings run once at most, and never where a refusal says so."""
+    """Bookings run at most once, and not at all after a ``not run`` refusal."""
     counts = Counter(run.identity for _, run in _list_runs(world))
     for attempt in clients.attempts:
         ran = counts[attempt.identity]
@@ -60,94 +60,110 @@
 
 
 def check_senders(world: World, clients: Clients) -> Iterator[str]:
-    """Only what was asked runs, under the name of who asked."""
-    known = {attempt.identity: attempt for attempt in clients.attempts}
+    """Replicas run only requests that a client sent, under its account."""
+    attempts = {attempt.identity: attempt for attempt in clients.attempts}
     for name, run in _list_runs(world):
-        attempt = known.get(run.identity)
+        attempt = attempts.get(run.identity)
         if attempt is None:
             yield f'{name} ran what nobody asked: {run.identity}'
             continue
         account = run.headers.get('X-Ryelatch-Tenant', '')
-        right = f'{account}-key' == attempt.key
-        if not right or run.path != f'/{attempt.kind}/x':
+        own_key = f'{account}-key' == attempt.key
+        if not own_key or run.path != f'/{attempt.kind}/x':
             yield f'{name} ran {run.path} for {account}: {attempt}'
 
 
 def check_revoked(world: World, clients: Clients) -> Iterator[str]:
-    """A key that was taken away runs nothing after the bound."""
-    if world.revoked is None:
+    """No request of a revoked key runs after ``REVOKE_SECONDS``."""
+    if world.revoked_at is None:
         return
     ran = {run.identity for _, run in _list_runs(world)}
     for attempt in clients.attempts:
-        late = attempt.sent > world.revoked + REVOKE_SECONDS
+        late = attempt.sent > world.revoked_at + REVOKE_SECONDS
         if late and attempt.key == SPARE_KEY and attempt.identity in ran:
             yield f'ran after its key was taken away: {attempt}'
 
 
 def check_leaving(world: World, clients: Clients) -> Iterator[str]:
-    """A replica that leaves gets no new work after some seconds."""
+    """A leaving replica gets no new requests after ``LEAVING_SECONDS``."""
     for name, run in _list_runs(world):
-        since = world.leaving.get(name)
+        since = world.leaving_since.get(name)
         if since is not None and run.at > since + LEAVING_SECONDS:
             yield f'{name} was leaving for {run.at - since:.1f} s: {run}'
 
 
 def check_processes(world: World, clients: Clients) -> Iterator[str]:
-    """Processes end only when they are made to, and no part crashes."""
+    """Node processes exit only when the soak ends them, and nothing crashes."""
     for node in world.nodes:
-        if node.ends > node.wanted_ends:
-            yield f'{node.name} ended {node.ends} times by itself'
-        for line in node.read_lines():
-            if line['name'] in _CRASHES:
+        if node.exits > node.expected_exits:
+            yield f'{node.name} ended {node.exits} times unexpectedly'
+        for line in node.read_log_lines():
+            if line['name'] in _CRASH_EVENTS:
                 yield f'{node.name} wrote {line}'
 
 
 def check_crashing(world: World, clients: Clients) -> Iterator[str]:
-    """What ends replicas meets few of them, and nothing else is refused.
+    """A crashing request reaches few replicas, and only it is quarantined.
 
-    While faults go on a node may not be able to hear of the ends; in calm all
-    know of them.
+    During the faults a node may receive no reports of the crashes; after the
+    recovery, all nodes have them.
     """
-    ended = sum(one.ended for one in world.replicas)
-    late = [
+    crashed = sum(replica.ended for replica in world.replicas)
+    late_runs = [
         run
         for _, run in _list_runs(world)
-        if run.body == CRASHING and run.at > world.calm
+        if run.body == CRASHING_BODY and run.at > world.recovered_at
     ]
-    if len(late) > MOST_RETRIES:
-        yield f'{ended} replicas ended, in calm under {late}'
-    known = {find_digest(kind) for kind in CRASHING_KINDS}
+    if len(late_runs) > MAX_CRASHING_RUNS:
+        yield f'{crashed} replicas crashed; runs after recovery: {late_runs}'
+    crashing_digests = {compute_digest(kind) for kind in CRASHING_KINDS}
     for node in world.nodes:
-        for line in node.read_lines():
-            wrong = line.get('digest') not in known
-            if line['name'] == 'request-quarantined' and wrong:
-                yield f'{node.name} refuses what ended nothing: {line}'
+        for line in node.read_log_lines():
+            harmless = line.get('digest') not in crashing_digests
+            if line['name'] == 'request-quarantined' and harmless:
+                yield f'{node.name} quarantined a harmless request: {line}'
 
 
-def check_limited(world: World, clients: Clients) -> Iterator[str]:
-    """A replica in need gets no more than it named, and not nothing."""
-    if world.limited is None:
+def check_limit(world: World, clients: Clients) -> Iterator[str]:
+    """A limited replica gets about its limit at most, and not nothing."""
+    if world.limited_replica is None:
         return
-    wanted, since = world.limited
+    limited_name, since = world.limited_replica
     times = [
         run.at
         for name, run in _list_runs(world)
-        if name == wanted and run.at > since + NOTICE_SECONDS
+        if name == limited_name and run.at > since + LIMIT_NOTICE_SECONDS
     ]
-    most = max(
-        (sum(one <= at < one + SPAN_SECONDS for at in times) for one in times),
+    max_runs = max(
+        (
+            sum(start <= at < start + WINDOW_SECONDS for at in times)
+            for start in times
+        ),
         default=0,
     )
-    if not 1 <= most <= 1.5 * LIMIT * SPAN_SECONDS + 5:
-        yield f'{wanted} got {most} in {SPAN_SECONDS} s at a limit of {LIMIT}'
-
-
-def check_recovery(calm: list[Attempt]) -> Iterator[str]:
-    """After the last fault requests are served as if nothing had been."""
-    served = sum(one.status == 200 and one.whole for one in calm)
-    if served < len(calm) * _LEAST_SERVED:
-        failed = [one for one in calm if one.status != 200 or not one.whole]
-        yield f'served {served} of {len(calm)} in calm: {failed[:3]}'
+    if not 1 <= max_runs <= 1.5 * LIMIT_PER_SECOND * WINDOW_SECONDS + 5:
+        yield (
+            f'{limited_name} got {max_runs} requests in {WINDOW_SECONDS} s, '
+            f'at a limit of {LIMIT_PER_SECOND} per second'
+        )
+
+
+def check_recovery(recovery_attempts: list[Attempt]) -> Iterator[str]:
+    """After the recovery, nearly all requests are served."""
+    served = sum(
+        attempt.status == 200 and attempt.complete
+        for attempt in recovery_attempts
+    )
+    if served < len(recovery_attempts) * _MIN_SERVED_RATIO:
+        failed = [
+            attempt
+            for attempt in recovery_attempts
+            if attempt.status != 200 or not attempt.complete
+        ]
+        yield (
+            f'served {served} of {len(recovery_attempts)} after recovery; '
+            f'failed: {failed[:3]}'
+        )
 
 
 CHECKS: tuple[Check, ...] = (
@@ -158,18 +174,25 @@
     check_leaving,
     check_processes,
     check_crashing,
-    check_limited,
+    check_limit,
 )
 
 
 def list_violations(
     world: World,
     clients: Clients,
-    calm: list[Attempt],
+    recovery_attempts: list[Attempt],
 ) -> list[str]:
-    """Check all promises."""
+    """Check all promises.
+
+    :param recovery_attempts: requests sent after the recovery.
+    :returns: a description of each violation.
+    """
     found = (check(world, clients) for check in CHECKS)
-    return [*itertools.chain.from_iterable(found), *check_recovery(calm)]
+    return [
+        *itertools.chain.from_iterable(found),
+        *check_recovery(recovery_attempts),
+    ]
 
 
 def _list_runs(world: World) -> Iterator[tuple[str, Run]]:
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they send, and note what they saw."""
+"""Clients of a soak, which send requests and record the answers."""
 
 import asyncio
 import itertools
@@ -10,19 +10,21 @@
 from fleet.running import KEY
 from soak.world import SPARE_KEY, Node, World
 
-CLIENTS = 8
+CLIENT_COUNT = 8
 _DEADLINE_MS = 4000
-_REST_SECONDS = (0.0, 0.1)
+_PAUSE_SECONDS = (0.0, 0.1)
 _KINDS = ('plan', 'plan', 'ping', 'book')
 
 
 @dataclass
 class Attempt:
-    """A request, and what its client saw of the answer.
+    """A request, and what its client received of the answer.
 
-    :param sent: when, by the loop's clock.
+    :param kind: name of its route.
+    :param sent: when it was sent, in seconds of the event loop's clock.
     :param status: 0 if no answer came.
-    :param whole: whether the answer ended as it should.
+    :param complete: whether the answer ended without an error.
+    :param signature: of the replica that answered; empty if none signed.
     """
 
     identity: str
@@ -30,31 +32,31 @@
     key: str
     sent: float
     status: int = 0
-    whole: bool = False
+    complete: bool = False
     signature: str = ''
     body: bytes = b''
 
 
 @dataclass(eq=False)
 class Clients:
-    """All clients, and all that they tried."""
+    """All clients, and all their attempts."""
 
     world: World
     attempts: list[Attempt] = field(default_factory=list)
     _numbers: Iterator[int] = field(default_factory=itertools.count)
 
-    async def run(self, until: asyncio.Event) -> None:
-        """Send until told to stop."""
+    async def run(self, stop: asyncio.Event) -> None:
+        """Send requests until ``stop`` is set."""
         async with asyncio.TaskGroup() as group:
-            for _ in range(CLIENTS):
-                group.create_task(self._run_one(until))
+            for _ in range(CLIENT_COUNT):
+                group.create_task(self._run_client(stop))
 
-    async def ask_calmly(self, count: int) -> list[Attempt]:
-        """Send some requests, one after the other, on new connections."""
+    async def send_sequentially(self, count: int) -> list[Attempt]:
+        """Send some requests in sequence, each on a new connection."""
         attempts = []
         for _ in range(count):
             async with ClientSession() as http:
-                attempts.append(await self._ask(http, KEY))
+                attempts.append(await self._send_random(http, KEY))
         return attempts
 
     async def send(
@@ -77,7 +79,7 @@
             'X-Ryelatch-Token-Usage': '100,40',
             'Api-Key': key,
         }
-        url = f'http://{node.front.address}/{kind}/x'
+        url = f'http://{node.front_link.address}/{kind}/x'
         timeout = ClientTimeout(total=_DEADLINE_MS / 1000)
         try:
             async with http.post(
@@ -87,22 +89,24 @@
                 attempt.signature = response.headers.get(
                     'X-Ryelatch-Replica-Signature', ''
                 )
-                async for piece in response.content.iter_any():
-                    attempt.body += piece
-                attempt.whole = True
+                async for chunk in response.content.iter_any():
+                    attempt.body += chunk
+                attempt.complete = True
         except (ClientError, OSError, TimeoutError):
-            attempt.whole = False
+            attempt.complete = False
         return attempt
 
-    async def _run_one(self, until: asyncio.Event) -> None:
-        chance = self.world.chance
+    async def _run_client(self, stop: asyncio.Event) -> None:
+        random_source = self.world.random_source
         async with ClientSession() as http:
-            while not until.is_set():
-                await self._ask(http, chance.choice((KEY, KEY, SPARE_KEY)))
-                await asyncio.sleep(chance.uniform(*_REST_SECONDS))
-
-    async def _ask(self, http: ClientSession, key: str) -> Attempt:
-        chance = self.world.chance
-        node = chance.choice(self.world.nodes)
-        kind = chance.choice(_KINDS)
+            while not stop.is_set():
+                await self._send_random(
+                    http, random_source.choice((KEY, KEY, SPARE_KEY))
+                )
+                await asyncio.sleep(random_source.uniform(*_PAUSE_SECONDS))
+
+    async def _send_random(self, http: ClientSession, key: str) -> Attempt:
+        random_source = self.world.random_source
+        node = random_source.choice(self.world.nodes)
+        kind = random_source.choice(_KINDS)
         return await self.send(http, node, kind, key)
--- a/tests/soak/crashing.py
+++ b/tests/soak/crashing.py
@@ -1,4 +1,4 @@
-"""A client whose request ends the replicas that run it, again and again."""
+"""A client that repeats a request which crashes replicas."""
 
 import asyncio
 import random
@@ -9,81 +9,81 @@
 from fleet.running import KEY
 from ryelatch_core.quarantine import digest_request
 from soak.clients import Clients
-from soak.world import CRASHING, World
+from soak.world import CRASHING_BODY, World
 from standins.replica import ReplicaStandIn
 
 CRASHING_KINDS = ('plan', 'ping')
 
 _PAUSE_SECONDS = (0.3, 1.2)
-_BACK_SECONDS = 1.5
-"""From the end of a replica to its next life."""
+_RESTART_SECONDS = 1.5
+"""Time from the crash of a replica to the start of its replacement."""
 
-_LAPSE_SECONDS = 1.0
-"""From that to the removal of the old entry."""
+_EXPIRY_SECONDS = 1.0
+"""Time from that start to the removal of the crashed replica's entry."""
 
-_CALM_TRIES = 8
+_RECOVERY_TRIES = 8
 
 
-def find_digest(kind: str) -> str:
-    """Find how the nodes name the request."""
+def compute_digest(kind: str) -> str:
+    """Compute the digest under which nodes quarantine the request."""
     account = KEY.removesuffix('-key')
     return digest_request(
-        'city.example', 'POST', f'/{kind}/x', account, CRASHING
+        'city.example', 'POST', f'/{kind}/x', account, CRASHING_BODY
     )
 
 
 @dataclass(eq=False)
 class CrashingClient:
-    """Sends the request to any node, and starts replicas that ended."""
+    """Sends the request to random nodes, and replaces crashed replicas."""
 
     world: World
     clients: Clients
-    chance: random.Random
+    random_source: random.Random
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
     _replaced: set[str] = field(default_factory=set)
 
     def start(self) -> None:
-        """Begin to send, and to start replicas again."""
+        """Start to send the request and to replace crashed replicas."""
         self._tasks = [
-            asyncio.create_task(self._send()),
-            asyncio.create_task(self._replace()),
+            asyncio.create_task(self._send_repeatedly()),
+            asyncio.create_task(self._replace_crashed()),
         ]
 
-    async def go_on(self) -> None:
-        """Come back some more times."""
-        for _ in range(_CALM_TRIES):
-            await self._try()
+    async def resend(self) -> None:
+        """Send the request some more times."""
+        for _ in range(_RECOVERY_TRIES):
+            await self._send_once()
 
     async def stop(self) -> None:
-        """Send no more."""
+        """Stop sending and replacing."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _send(self) -> None:
-        while not self.world.calm:
-            await self._try()
-            await asyncio.sleep(self.chance.uniform(*_PAUSE_SECONDS))
+    async def _send_repeatedly(self) -> None:
+        while not self.world.recovered_at:
+            await self._send_once()
+            await asyncio.sleep(self.random_source.uniform(*_PAUSE_SECONDS))
 
-    async def _try(self) -> None:
-        node = self.chance.choice(self.world.nodes)
-        kind = self.chance.choice(CRASHING_KINDS)
+    async def _send_once(self) -> None:
+        node = self.random_source.choice(self.world.nodes)
+        kind = self.random_source.choice(CRASHING_KINDS)
         async with ClientSession() as http:
-            await self.clients.send(http, node, kind, KEY, CRASHING)
+            await self.clients.send(http, node, kind, KEY, CRASHING_BODY)
 
-    async def _replace(self) -> None:
-        """Start ended replicas again, as other lives at other addresses."""
+    async def _replace_crashed(self) -> None:
+        """Replace crashed replicas by new incarnations at other addresses."""
         while True:
-            for replica in self.world.list_present():
+            for replica in self.world.list_registered():
                 if replica.ended and replica.name not in self._replaced:
                     self._replaced.add(replica.name)
                     self._tasks.append(
-                        asyncio.create_task(self._start_again(replica))
+                        asyncio.create_task(self._start_replacement(replica))
                     )
             await asyncio.sleep(0.1)
 
-    async def _start_again(self, old: ReplicaStandIn) -> None:
-        await asyncio.sleep(_BACK_SECONDS)
+    async def _start_replacement(self, old: ReplicaStandIn) -> None:
+        await asyncio.sleep(_RESTART_SECONDS)
         name = old.name.rsplit('-', 1)[0]
         new = ReplicaStandIn(
             name,
@@ -92,6 +92,6 @@
             layers=old.layers,
         )
         await self.world.add_replica(new)
-        await asyncio.sleep(_LAPSE_SECONDS)
-        if old in self.world.list_present():
+        await asyncio.sleep(_EXPIRY_SECONDS)
+        if old in self.world.list_registered():
             self.world.store.drop('servers', old.name)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a soak injects, each for a while, in series and overlapping."""
+"""Faults that a soak injects, each for a random time; they may overlap."""
 
 import asyncio
 import signal
@@ -9,92 +9,99 @@
 from standins.replica import ReplicaStandIn
 
 _PAUSE_SECONDS = (0.05, 0.8)
-_SPAN_SECONDS = (0.3, 3.5)
+_DURATION_SECONDS = (0.3, 3.5)
 _GRACE_SECONDS = 9.0
 
 Fault = Callable[[World], Awaitable[None]]
 
 
-def _span(world: World) -> float:
-    return world.chance.uniform(*_SPAN_SECONDS)
+def _sample_duration(world: World) -> float:
+    return world.random_source.uniform(*_DURATION_SECONDS)
 
 
 async def kill_node(world: World) -> None:
-    """Kill a node's process and start it again."""
-    node = world.chance.choice(world.nodes)
-    node.wanted_ends += 1
+    """Kill a node's process, and restart it."""
+    node = world.random_source.choice(world.nodes)
+    node.expected_exits += 1
     node.send(signal.SIGKILL)
-    await asyncio.sleep(world.chance.uniform(0.1, 1.5))
-    node.revive()
+    await asyncio.sleep(world.random_source.uniform(0.1, 1.5))
+    node.restart_if_exited()
 
 
 async def stop_node(world: World) -> None:
-    """Stop a node as planned; one that is stopped twice ends once."""
-    node = world.chance.choice(world.nodes)
-    node.wanted_ends += 1
+    """Stop a node as planned, and restart it after its grace period.
+
+    A node that is stopped twice exits once.
+    """
+    node = world.random_source.choice(world.nodes)
+    node.expected_exits += 1
     node.send(signal.SIGTERM)
     await asyncio.sleep(_GRACE_SECONDS)
-    node.revive()
+    node.restart_if_exited()
 
 
 async def pause_node(world: World) -> None:
-    """Let a node's process stand still."""
-    node = world.chance.choice(world.nodes)
+    """Pause a node's process, and resume it."""
+    node = world.random_source.choice(world.nodes)
     node.send(signal.SIGSTOP)
-    await asyncio.sleep(_span(world))
+    await asyncio.sleep(_sample_duration(world))
     node.send(signal.SIGCONT)
 
 
 async def reload_node(world: World) -> None:
-    """Touch a settings file, with and without the signal."""
-    node = world.chance.choice(world.nodes)
+    """Rewrite a node's settings file, with or without the reload signal."""
+    node = world.random_source.choice(world.nodes)
     node.settings.write_text(node.settings.read_text())
-    if world.chance.randrange(2):
-        node.notify()
+    if world.random_source.randrange(2):
+        node.request_reload()
 
 
 async def break_link(world: World) -> None:
-    """Delay, cut, silence or reset a link for a while."""
+    """Delay, silence or reset a link for a while."""
     links: list[Link] = [
-        *(node.store for node in world.nodes),
-        *(node.front for node in world.nodes),
+        *(node.store_link for node in world.nodes),
+        *(node.front_link for node in world.nodes),
         *world.links.values(),
     ]
-    link = world.chance.choice(links)
-    link.switch(world.chance.choice(list(LinkMode)))
-    await asyncio.sleep(_span(world))
+    link = world.random_source.choice(links)
+    link.switch(world.random_source.choice(list(LinkMode)))
+    await asyncio.sleep(_sample_duration(world))
     link.switch(LinkMode.OPEN)
 
 
 async def reset_link(world: World) -> None:
-    """Reset what is open; new connections work."""
-    world.chance.choice([node.front for node in world.nodes]).reset()
-    world.chance.choice(list(world.links.values())).reset()
+    """Reset the open connections of two links; new connections work."""
+    world.random_source.choice(
+        [node.front_link for node in world.nodes]
+    ).reset()
+    world.random_source.choice(list(world.links.values())).reset()
 
 
-async def trouble_store(world: World) -> None:
-    """Let the store refuse, fall silent, lose answers or forget."""
+async def disturb_store(world: World) -> None:
+    """Make the store refuse, hang, lose answers or drop its history."""
     store = world.store
-    kind = world.chance.choice(('busy', 'silent', 'lose', 'forget', 'deaf'))
+    kind = world.random_source.choice(
+        ('busy', 'silent', 'lose', 'forget', 'deaf')
+    )
     if kind == 'lose':
-        store.lose_answers = world.chance.randint(1, 3)
+        store.lose_answers = world.random_source.randint(1, 3)
     elif kind == 'forget':
         store.forget_history()
     elif kind == 'deaf':
         store.deaf = True
-        await asyncio.sleep(world.chance.uniform(0.1, 1))
+        await asyncio.sleep(world.random_source.uniform(0.1, 1))
         store.deaf = False
         store.forget_history()
     else:
         store.mode = kind
-        await asyncio.sleep(_span(world))
+        await asyncio.sleep(_sample_duration(world))
         store.mode = 'ok'
 
 
-async def spoil_replica(world: World) -> None:
-    """Let a replica refuse, fail, hang or spoil answers for a while."""
-    replica = world.chance.choice(world.list_present())
-    name, wrong = world.chance.choice(
+async def disturb_replica(world: World) -> None:
+    """Make a replica refuse, fail, hang or corrupt answers for a while."""
+    replica = world.random_source.choice(world.list_registered())
+    name, value = world.random_source.choice(
         (
             ('refuse', 503),
             ('fail', 500),
@@ -103,29 +110,30 @@
             ('other_identity', True),
         )
     )
-    setattr(replica, name, wrong)
-    await asyncio.sleep(_span(world))
-    # Not what it was before: two spells may overlap.
-    setattr(replica, name, type(wrong)())
+    setattr(replica, name, value)
+    await asyncio.sleep(_sample_duration(world))
+    # Reset to the default, not to the value before, as two of these faults may
+    # overlap.
+    setattr(replica, name, type(value)())
 
 
 async def break_streams(world: World) -> None:
-    """Tear the next stream of a replica, or let it stand still."""
-    replica = world.chance.choice(world.list_present())
-    if world.chance.randrange(2):
-        replica.break_after = world.chance.randint(1, 4)
+    """Abort or stall the next stream of a replica."""
+    replica = world.random_source.choice(world.list_registered())
+    if world.random_source.randrange(2):
+        replica.break_after = world.random_source.randint(1, 4)
     else:
-        replica.stall_after = world.chance.randint(1, 4)
+        replica.stall_after = world.random_source.randint(1, 4)
         replica.stalls = 1
 
 
 async def replace_replica(world: World) -> None:
-    """Let a replica leave after its word, or without; another takes over."""
-    old = world.chance.choice(world.list_present())
-    if world.chance.randrange(3):
+    """Replace a replica, which announces that it leaves or doesn't."""
+    old = world.random_source.choice(world.list_registered())
+    if world.random_source.randrange(3):
         old.register('draining')
-        world.leaving[old.name] = asyncio.get_running_loop().time()
-        await asyncio.sleep(world.chance.uniform(2, 3))
+        world.leaving_since[old.name] = asyncio.get_running_loop().time()
+        await asyncio.sleep(world.random_source.uniform(2, 3))
     new = ReplicaStandIn(
         old.name.rsplit('-', 1)[0],
         old.service,
@@ -133,9 +141,9 @@
         layers=old.layers,
     )
     await world.add_replica(new)
-    if old in world.list_present():
+    if old in world.list_registered():
         world.store.drop('servers', old.name)
-    await asyncio.sleep(_span(world))
+    await asyncio.sleep(_sample_duration(world))
     world.links[old.name].switch(LinkMode.RESET)
 
 
@@ -148,10 +156,10 @@
     break_link,
     break_link,
     reset_link,
-    trouble_store,
-    trouble_store,
-    spoil_replica,
-    spoil_replica,
+    disturb_store,
+    disturb_store,
+    disturb_replica,
+    disturb_replica,
     break_streams,
     break_streams,
     replace_replica,
@@ -159,18 +167,19 @@
 
 
 async def inject_faults(world: World, seconds: float) -> list[str]:
-    """Inject faults at random times, and wait until all are over.
+    """Inject faults at random times, and wait until all have ended.
 
-    :returns: their names in order.
+    :param seconds: time during which faults start.
+    :returns: the faults' names, in order.
     """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + seconds
+    deadline = loop.time() + seconds
     tasks: list[asyncio.Task[None]] = []
     names: list[str] = []
-    while loop.time() < ends:
-        fault = world.chance.choice(FAULTS)
+    while loop.time() < deadline:
+        fault = world.random_source.choice(FAULTS)
         names.append(fault.__name__)
         tasks.append(asyncio.ensure_future(fault(world)))
-        await asyncio.sleep(world.chance.uniform(*_PAUSE_SECONDS))
+        await asyncio.sleep(world.random_source.uniform(*_PAUSE_SECONDS))
     await asyncio.gather(*tasks)
     return names
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""Loopback links that delay, cut, silence and reset what passes."""
+"""TCP proxies on loopback that delay, drop or reset traffic."""
 
 import asyncio
 import contextlib
@@ -9,37 +9,37 @@
 
 from fleet.running import wait_until
 
-_PIECE = 65_536
+_CHUNK_BYTES = 65_536
 _DELAY_SECONDS = 0.3
 
 
 class LinkMode(enum.Enum):
-    """What a link does to the bytes that pass."""
+    """What a link does to its traffic."""
 
     OPEN = 'open'
     DELAYED = 'delayed'
     SILENT = 'silent'
     ONE_WAY = 'one way'
-    """Requests pass, answers don't."""
+    """Requests are forwarded, answers are dropped."""
 
     RESET = 'reset'
-    """Connections are reset, and new ones at once."""
+    """Open connections are reset, new ones as soon as they are accepted."""
 
 
-_NO_LINGER = struct.pack('ii', 1, 0)
+_ZERO_LINGER = struct.pack('ii', 1, 0)
 
 
 def _abort(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection; closing alone would end it in order."""
-    held = writer.get_extra_info('socket')
+    """Reset a connection; a plain close would end it in an orderly way."""
+    sock = writer.get_extra_info('socket')
     with contextlib.suppress(OSError):
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER)
     writer.transport.abort()
 
 
 @dataclass(eq=False)
 class Link:
-    """A listener on loopback that passes bytes on to a target."""
+    """Listener on loopback that forwards connections to a target."""
 
     target: tuple[str, int]
     mode: LinkMode = LinkMode.OPEN
@@ -49,35 +49,35 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Host and port at which it listens."""
         return f'127.0.0.1:{self.port}'
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, '127.0.0.1', 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening, and reset and wait for all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
         await wait_until(lambda: not self._writers)
 
     async def close(self) -> None:
-        """Refuse connections from now on, and reset all that are open."""
+        """Refuse new connections, and reset all open ones."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def switch(self, mode: LinkMode) -> None:
-        """Change what it does; a reset also ends what is open."""
+        """Change the mode; ``RESET`` also resets all open connections."""
         self.mode = mode
         if mode is LinkMode.RESET:
             self.reset()
 
     def reset(self) -> None:
-        """Reset all connections that pass through it."""
+        """Reset all open connections."""
         for writer in tuple(self._writers):
             _abort(writer)
 
@@ -90,49 +90,53 @@
             _abort(writer)
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(
+                *self.target
+            )
         except OSError:
             _abort(writer)
             return
-        ends = {writer, far_writer}
-        self._writers |= ends
+        writers = {writer, target_writer}
+        self._writers |= writers
         try:
             await asyncio.gather(
-                self._pass(reader, far_writer, answers=False),
-                self._pass(far_reader, writer, answers=True),
+                self._forward(reader, target_writer, to_client=False),
+                self._forward(target_reader, writer, to_client=True),
             )
         finally:
-            for one in ends:
-                _abort(one)
-            self._writers -= ends
+            for endpoint in writers:
+                _abort(endpoint)
+            self._writers -= writers
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        answers: bool,
+        to_client: bool,
     ) -> None:
         cut = False
         try:
-            while piece := await reader.read(_PIECE):
+            while chunk := await reader.read(_CHUNK_BYTES):
                 if self.mode is LinkMode.DELAYED:
                     await asyncio.sleep(_DELAY_SECONDS)
-                lost = self.mode is LinkMode.SILENT
-                lost = lost or (answers and self.mode is LinkMode.ONE_WAY)
-                # A connection that lost bytes is silent for good: passing on
-                # what came later would make a hole that no network makes.
-                cut = cut or lost
+                dropped = self.mode is LinkMode.SILENT
+                dropped = dropped or (
+                    to_client and self.mode is LinkMode.ONE_WAY
+                )
+                # A connection that lost bytes forwards nothing more: TCP never
+                # delivers later bytes without the lost ones.
+                cut = cut or dropped
                 if cut:
                     continue
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
         except OSError:
-            # A reset stays one: passed on as an orderly end, a part of a body
-            # without a length would be whole by the protocol.
+            # A reset is forwarded as a reset: after an orderly close, a
+            # partial body without a length would count as complete.
             _abort(writer)
             return
-        # An end passes like everything else; a silent link keeps it.
+        # A close is forwarded like data; a silent link drops it.
         if not cut:
             with contextlib.suppress(OSError):
                 writer.close()
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays a seed: faults, clients, then calm, then the checks."""
+"""Runs a seed: faults under load, then recovery, then the checks."""
 
 import asyncio
 import random
@@ -7,28 +7,28 @@
 from pathlib import Path
 
 from fleet.running import KEY
-from soak.asking import AskingReplicas
+from soak.asking import ThrottledReplicas
 from soak.checks import list_violations
 from soak.clients import Clients
 from soak.crashing import CrashingClient
 from soak.faults import inject_faults
 from soak.world import World, run_world
 
-CALM_SECONDS = 5.0
-"""From the last fault to the first request that must be served.
+RECOVERY_SECONDS = 5.0
+"""Time from the last fault until requests must be served.
 
-A lost replica's suspicion lasts four seconds, a killed node starts in one.
+A lost replica is suspected for four seconds; a killed node starts in one.
 """
 
-CALM_REQUESTS = 30
+RECOVERY_REQUESTS = 30
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a seed brought.
+    """Result of a seed.
 
-    :param faults: names of what was injected, in order.
-    :param statuses: answers by status; 0 where none came.
+    :param faults: names of the injected faults, in order.
+    :param statuses: number of answers by status; 0 where none came.
     """
 
     seed: int
@@ -37,7 +37,7 @@
     violations: list[str]
 
 
-async def play_seed(
+async def run_seed(
     seed: int,
     seconds: float,
     folder: Path,
@@ -45,50 +45,50 @@
     crashing: bool = False,
     asking: bool = False,
 ) -> Outcome:
-    """Play one seed.
+    """Run one seed.
 
-    :param seconds: for which faults begin; the last ones end later.
-    :param folder: for settings and what the processes write.
-    :param crashing: whether a client sends what ends the replicas that run it.
-    :param asking: whether replicas name limits and ask for rest.
+    :param seconds: time during which faults start; the last ones end later.
+    :param folder: for settings and log files of the processes.
+    :param crashing: whether a client sends a request that crashes replicas.
+    :param asking: whether replicas announce limits and ask for backoff.
     """
     async with run_world(seed, folder) as world:
         clients = Clients(world)
-        until = asyncio.Event()
-        crashes = CrashingClient(world, clients, random.Random(seed))
-        asks = AskingReplicas(world, clients, random.Random(seed))
+        stop_clients = asyncio.Event()
+        crashing_client = CrashingClient(world, clients, random.Random(seed))
+        throttled = ThrottledReplicas(world, clients, random.Random(seed))
         if crashing:
-            crashes.start()
+            crashing_client.start()
         if asking:
-            asks.start()
-        sending = asyncio.create_task(clients.run(until))
-        revoking = asyncio.create_task(_revoke(world, seconds / 3))
+            throttled.start()
+        sending = asyncio.create_task(clients.run(stop_clients))
+        revoking = asyncio.create_task(_revoke_key(world, seconds / 3))
         faults = await inject_faults(world, seconds)
         await revoking
-        await asks.stop()
-        await _settle(world)
-        until.set()
+        await throttled.stop()
+        await _wait_recovered(world)
+        stop_clients.set()
         await sending
-        world.calm = asyncio.get_running_loop().time()
+        world.recovered_at = asyncio.get_running_loop().time()
         if crashing:
-            await crashes.go_on()
+            await crashing_client.resend()
         if asking:
-            await asks.press()
-        calm = await clients.ask_calmly(CALM_REQUESTS)
-        await crashes.stop()
-        statuses = Counter(one.status for one in clients.attempts)
-        violations = list_violations(world, clients, calm)
+            await throttled.overload()
+        recovery_attempts = await clients.send_sequentially(RECOVERY_REQUESTS)
+        await crashing_client.stop()
+        statuses = Counter(attempt.status for attempt in clients.attempts)
+        violations = list_violations(world, clients, recovery_attempts)
     return Outcome(seed, faults, statuses, violations)
 
 
-async def _revoke(world: World, seconds: float) -> None:
+async def _revoke_key(world: World, seconds: float) -> None:
     await asyncio.sleep(seconds)
     world.configure([KEY])
-    world.revoked = asyncio.get_running_loop().time()
+    world.revoked_at = asyncio.get_running_loop().time()
 
 
-async def _settle(world: World) -> None:
+async def _wait_recovered(world: World) -> None:
     for node in world.nodes:
-        node.revive()
+        node.restart_if_exited()
     await world.wait_ready()
-    await asyncio.sleep(CALM_SECONDS)
+    await asyncio.sleep(RECOVERY_SECONDS)
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that CI plays."""
+"""Seeds that CI runs."""
 
 CI_SEEDS = (1, 2)
 CRASHING_SEED = 7401
@@ -6,10 +6,10 @@
 CI_SECONDS = 6.0
 
 REGRESSIONS: dict[int, str] = {
-    1012: 'a notice of changed settings ended a process that was starting',
-    3001: 'a stream ended while an order to move it was on its way, and '
-    'cutting it off crashed',
-    1025: 'a watch that the store had forgotten waited on after an outage, '
-    'and a replica got work 6.3 s after it said that it leaves',
+    1012: 'the signal for changed settings killed a starting process',
+    3001: 'a stream finished while the command to move it was in flight, and '
+    'aborting it crashed',
+    1025: 'a watch whose history the store had dropped kept waiting after an '
+    'outage, and a replica got work 6.3 s after it announced that it leaves',
 }
-"""Seeds that failed once, each with its cause."""
+"""Seeds that failed before, with the cause of each."""
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""Node processes, the stand-ins around them, and the links between."""
+"""Node processes, the stand-ins around them, and the links between them."""
 
 import asyncio
 import json
@@ -21,17 +21,17 @@
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn
 
-NODES = 3
-EVENTS = 8
-"""Events of each stream, so that a whole one is known."""
+NODE_COUNT = 3
+STREAM_EVENTS = 8
+"""Events of each stream; a stream with fewer is incomplete."""
 
-FIRST_LINE_SECONDS = 0.3
-"""From the start of a process to its first line, also on a busy machine."""
+SIGNAL_SAFE_SECONDS = 0.3
+"""Time until a process runs its first line, also on a busy machine."""
 
-CRASHING = b'a question under which replicas end'
+CRASHING_BODY = b'a question under which replicas end'
 
 SPARE_KEY = 'ward-2-key'
-"""A key that is taken away in the middle of a run."""
+"""API key that is revoked during a run."""
 
 _READY_SECONDS = 30
 _SETTINGS = """
@@ -50,27 +50,29 @@
 
 @dataclass(eq=False)
 class Node:
-    """A node's process, which is started again whenever it ends.
+    """Process of a node, which is restarted whenever it exits.
 
     :param host: a loopback address of its own, so that no port is shared.
-    :param wanted_ends: ends that the soak brought about.
-    :param ends: ends that were seen.
+    :param output: file with what it writes to standard output and error.
+    :param expected_exits: exits that the soak caused.
+    :param exits: exits that were observed.
+    :param started_at: monotonic seconds.
     """
 
     name: str
     host: str
     settings: Path
-    store: Link
-    front: Link
+    store_link: Link
+    front_link: Link
     output: Path
-    wanted_ends: int = 0
-    ends: int = 0
-    started: float = 0
+    expected_exits: int = 0
+    exits: int = 0
+    started_at: float = 0
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the program, as the platform does."""
-        self.started = time.monotonic()
+        """Start the process as the platform does."""
+        self.started_at = time.monotonic()
         with self.output.open('ab') as output:
             self.process = subprocess.Popen(
                 [sys.executable, '-m', 'ryelatch_platform'],
@@ -80,33 +82,33 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to its process."""
+        """Send a signal to the process, unless it has exited."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def notify(self) -> None:
-        """Tell its process that the settings have changed.
+    def request_reload(self) -> None:
+        """Send the signal for changed settings, unless it just started.
 
-        A signal ends a program before it has run its first line; nothing in
-        it can change that.
+        The signal kills a process that hasn't run the program's first line
+        yet; the program can't prevent that.
         """
-        if time.monotonic() - self.started > FIRST_LINE_SECONDS:
+        if time.monotonic() - self.started_at > SIGNAL_SAFE_SECONDS:
             self.send(signal.SIGHUP)
 
-    def revive(self) -> None:
-        """Start it again if it has ended."""
+    def restart_if_exited(self) -> None:
+        """Restart the process if it has exited."""
         if self.process is not None and self.process.poll() is not None:
-            self.ends += 1
+            self.exits += 1
             self.start()
 
-    def end(self) -> None:
-        """End its process for good."""
+    def kill(self) -> None:
+        """Kill the process and wait until it has exited."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
-    def read_lines(self) -> list[dict[str, Any]]:
-        """Read what it wrote; lines that aren't JSON come as crashes."""
+    def read_log_lines(self) -> list[dict[str, Any]]:
+        """Read its log lines; one that isn't JSON becomes a ``no-json`` line."""
         lines = self.output.read_text().splitlines()
         return [
             json.loads(line)
@@ -118,48 +120,60 @@
 
 @dataclass(eq=False)
 class World:
-    """Everything that a soak plays with."""
+    """All parts of a soak, and the times at which it changed them.
+
+    Times are seconds of the event loop's clock.
+
+    :param random_source: seeded; the faults and the clients share it.
+    :param links: links to the replicas, by name of the replica.
+    :param version: of the configuration.
+    :param revoked_at: when ``SPARE_KEY`` was revoked.
+    :param leaving_since: when replicas announced that they leave, by name.
+    :param added_replicas: number of all so far.
+    :param recovered_at: when the faults were over; 0 before.
+    :param limited_replica: the overloaded replica with a limit, and since when.
+    """
 
-    chance: random.Random
+    random_source: random.Random
     store: ObjectStore
     nodes: list[Node] = field(default_factory=list)
     replicas: list[ReplicaStandIn] = field(default_factory=list)
     links: dict[str, Link] = field(default_factory=dict)
     runners: list[web.AppRunner] = field(default_factory=list)
     version: int = 1
-    revoked: float | None = None
-    leaving: dict[str, float] = field(default_factory=dict)
-    born: int = 0
-    calm: float = 0
-    limited: tuple[str, float] | None = None
+    revoked_at: float | None = None
+    leaving_since: dict[str, float] = field(default_factory=dict)
+    added_replicas: int = 0
+    recovered_at: float = 0
+    limited_replica: tuple[str, float] | None = None
 
     async def add_replica(self, replica: ReplicaStandIn) -> ReplicaStandIn:
-        """Start a replica behind a link and register it."""
-        self.born += 1
-        replica.name = f'{replica.name}-{self.born}'
+        """Start a replica behind a link, and register it by a unique name."""
+        self.added_replicas += 1
+        replica.name = f'{replica.name}-{self.added_replicas}'
         replica.store = self.store
-        replica.events = EVENTS
+        replica.events = STREAM_EVENTS
         replica.pause = 0.05
         link = await self._open_link(replica.make_app())
         self.links[replica.name] = link
         replica.stop_listening = link.close
-        replica.ends_on = CRASHING
+        replica.ends_on = CRASHING_BODY
         replica.address = link.address
         self.replicas.append(replica)
         replica.register()
         return replica
 
-    def list_present(self) -> list[ReplicaStandIn]:
-        """List the replicas that the registry lists."""
+    def list_registered(self) -> list[ReplicaStandIn]:
+        """List the replicas that have an entry in the registry."""
         return [
-            one
-            for one in self.replicas
-            if self.store.get('servers', one.name) is not None
+            replica
+            for replica in self.replicas
+            if self.store.get('servers', replica.name) is not None
         ]
 
     def configure(self, keys: list[str]) -> None:
-        """Write the next version of the configuration."""
-        self.version += self.chance.randint(1, 3)
+        """Write the next version of the configuration, with these API keys."""
+        self.version += self.random_source.randint(1, 3)
         accounts = [
             {'name': key.removesuffix('-key'), 'apiKeys': [key]} for key in keys
         ]
@@ -170,37 +184,42 @@
         )
 
     async def add_node(self, name: str, folder: Path) -> None:
-        """Start a node with links of its own to the store and clients."""
-        # Not from the seed: two runs of one seed side by side would share
-        # their nodes' addresses, and each other's requests.
-        apart = random.SystemRandom()
-        low, high = apart.randint(1, 250), apart.randint(0, 250)
+        """Start a node with links of its own to the store and the clients."""
+        # Not from the seed: two concurrent runs of one seed would use the same
+        # addresses and get each other's requests.
+        address_source = random.SystemRandom()
+        low, high = (
+            address_source.randint(1, 250),
+            address_source.randint(0, 250),
+        )
         host = f'127.{low}.{high}.{len(self.nodes) + 7}'
-        store = await self._open_link(self.store.make_app())
-        front = Link((host, 8227))
-        await front.start()
+        store_link = await self._open_link(self.store.make_app())
+        front_link = Link((host, 8227))
+        await front_link.start()
         settings = folder / f'{name}.toml'
         settings.write_text(
-            _SETTINGS.format(name=name, host=host, store=store.address)
+            _SETTINGS.format(name=name, host=host, store=store_link.address)
+        )
+        node = Node(
+            name, host, settings, store_link, front_link, folder / f'{name}.log'
         )
-        node = Node(name, host, settings, store, front, folder / f'{name}.log')
         node.start()
         self.nodes.append(node)
 
     async def wait_ready(self) -> None:
-        """Wait until all nodes say that they are ready."""
+        """Wait until all nodes report that they are ready."""
         async with ClientSession() as http, asyncio.timeout(_READY_SECONDS):
             for node in self.nodes:
                 while not await _is_ready(http, node):
-                    node.revive()
+                    node.restart_if_exited()
                     await asyncio.sleep(0.1)
 
     async def stop(self) -> None:
-        """End the processes by their ids, then the stand-ins."""
+        """Kill the node processes, then stop the links and stand-ins."""
         for node in self.nodes:
-            node.end()
-            await node.front.stop()
-            await node.store.stop()
+            node.kill()
+            await node.front_link.stop()
+            await node.store_link.stop()
         for link in self.links.values():
             await link.stop()
         for runner in self.runners:
@@ -231,7 +250,7 @@
 
 @asynccontextmanager
 async def run_world(seed: int, folder: Path) -> AsyncIterator[World]:
-    """Start everything, and end all that was started."""
+    """Start a world, and stop all of it at the end."""
     world = World(random.Random(seed), ObjectStore())
     world.configure([KEY, SPARE_KEY])
     try:
@@ -246,6 +265,6 @@
     replicas += make_plain(3)
     for replica in replicas:
         await world.add_replica(replica)
-    for number in range(NODES):
+    for number in range(NODE_COUNT):
         await world.add_node(f'node-{number}', folder)
     await world.wait_ready()
--- a/tests/soak_tests/test_checks.py
+++ b/tests/soak_tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks find what they are there for."""
+"""Tests that the checks of the soak find violations."""
 
 import asyncio
 import random
@@ -10,11 +10,11 @@
 from fleet.running import KEY, expect_events
 from soak.checks import check_recovery, list_violations
 from soak.clients import Attempt, Clients
-from soak.world import EVENTS, SPARE_KEY, World
+from soak.world import SPARE_KEY, STREAM_EVENTS, World
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn, Run
 
-_Spoil = Callable[[World, Attempt], object]
+_Violation = Callable[[World, Attempt], object]
 
 
 def _make_run(attempt: Attempt) -> Run:
@@ -23,17 +23,17 @@
     return Run(attempt.identity, headers, f'/{attempt.kind}/x', b'', at=1)
 
 
-async def _play(kind: str, spoil: _Spoil) -> list[str]:
-    """Make a world in which one request went well, and spoil it."""
+async def _find_violations(kind: str, violate: _Violation) -> list[str]:
+    """Make a world with one correct request, and add a violation."""
     world = World(random.Random(1), ObjectStore())
     replica = ReplicaStandIn('b-0', 'booking')
     world.replicas.append(replica)
-    body = expect_events(EVENTS) if kind == 'plan' else b'answer of b-0'
+    body = expect_events(STREAM_EVENTS) if kind == 'plan' else b'answer of b-0'
     attempt = Attempt('r-1', kind, KEY, 1, 200, True, 'signed-b-0', body)
     replica.runs.append(_make_run(attempt))
     clients = Clients(world, [attempt])
     assert not list_violations(world, clients, [])
-    spoil(world, attempt)
+    violate(world, attempt)
     return list_violations(world, clients, [])
 
 
@@ -50,13 +50,13 @@
 
 
 def _revoke(world: World, attempt: Attempt) -> None:
-    world.revoked = -10.0
+    world.revoked_at = -10.0
     attempt.key = SPARE_KEY
     world.replicas[0].runs[0] = _make_run(attempt)
 
 
 def _leave(world: World, attempt: Attempt) -> None:
-    world.leaving['b-0'] = -10.0
+    world.leaving_since['b-0'] = -10.0
 
 
 def _cut(world: World, attempt: Attempt) -> None:
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    ('kind', 'spoil', 'told'),
+    ('kind', 'violate', 'expected_text'),
     [
         ('book', _run_again, 'ran 2 times'),
         ('book', _refuse, 'said not to have run'),
@@ -81,13 +81,15 @@
     ],
 )
 async def test_broken_promise_is_found(
-    kind: str, spoil: _Spoil, told: str
+    kind: str, violate: _Violation, expected_text: str
 ) -> None:
-    found = await _play(kind, spoil)
-    assert any(told in line for line in found)
+    violations = await _find_violations(kind, violate)
+    assert any(expected_text in line for line in violations)
 
 
 async def test_missing_recovery_is_found() -> None:
     now = asyncio.get_running_loop().time()
-    calm = [Attempt(f'r-{one}', 'ping', KEY, now) for one in range(10)]
-    assert list(check_recovery(calm))
+    recovery_attempts = [
+        Attempt(f'r-{number}', 'ping', KEY, now) for number in range(10)
+    ]
+    assert list(check_recovery(recovery_attempts))
--- a/tests/soak_tests/test_soak.py
+++ b/tests/soak_tests/test_soak.py
@@ -1,10 +1,10 @@
-"""A short soak with fixed seeds, and seeds that failed once."""
+"""Short soaks with fixed seeds, and with seeds that failed before."""
 
 from pathlib import Path
 
 import pytest
 
-from soak.play import play_seed
+from soak.play import run_seed
 from soak.seeds import (
     ASKING_SEED,
     CI_SECONDS,
@@ -16,31 +16,30 @@
 
 @pytest.mark.parametrize('seed', [*CI_SEEDS, *REGRESSIONS])
 async def test_seed_keeps_all_promises(seed: int, tmp_path: Path) -> None:
-    """Processes are killed, stopped and paused; links and the store fail.
+    """A combination of faults breaks a promise, or prevents recovery.
 
-    Whatever comes together, clients and replicas see the promises kept, and
-    requests are served again when all is over.
+    Processes are killed, stopped and paused, and links, replicas and the store
+    fail, in random combinations.
     """
-    outcome = await play_seed(seed, CI_SECONDS, tmp_path)
+    outcome = await run_seed(seed, CI_SECONDS, tmp_path)
     assert outcome.faults
     assert not outcome.violations
 
 
 async def test_crashing_request_is_kept_out(tmp_path: Path) -> None:
-    """A client sends what ends each replica that runs it, amid the faults.
+    """A request that crashes each replica that runs it is not quarantined.
 
-    Each of three processes sees some of the ends. What others ask is served,
-    and in calm no more than three replicas run it, as nodes agree by then.
+    Each of three nodes observes some of the crashes, amid other faults. Other
+    requests must be served. After the recovery the nodes agree on the crashes,
+    and at most three more replicas may run the request.
     """
-    outcome = await play_seed(
-        CRASHING_SEED, CI_SECONDS, tmp_path, crashing=True
-    )
+    outcome = await run_seed(CRASHING_SEED, CI_SECONDS, tmp_path, crashing=True)
     assert outcome.faults
     assert not outcome.violations
 
 
 async def test_replicas_that_ask_are_heeded(tmp_path: Path) -> None:
-    """Amid faults, a replica in need gets too much, or nothing any more."""
-    outcome = await play_seed(ASKING_SEED, CI_SECONDS, tmp_path, asking=True)
+    """After faults, a limited replica gets too much, or no requests at all."""
+    outcome = await run_seed(ASKING_SEED, CI_SECONDS, tmp_path, asking=True)
     assert outcome.faults
     assert not outcome.violations
