--- a/tests/guards.py
+++ b/tests/guards.py
@@ -38,7 +38,7 @@
     path = copy / 'packages' / row['file']
     text = path.read_text()
     if row['old'] not in text:
-        raise ValueError(f'{row["file"]} lacks the guard: {row["failure"]}')
+        raise ValueError(f'guard not found in its file: {row["failure"]}')
     text = text.replace(row['old'], row['new'])
     if 'also' in row:
         text = text.replace(*row['also'])
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -144,7 +144,7 @@
     if not 1 <= max_runs <= 1.5 * LIMIT_PER_SECOND * WINDOW_SECONDS + 5:
         yield (
             f'{limited_name} got {max_runs} requests in {WINDOW_SECONDS} s, '
-            f'at a limit of {LIMIT_PER_SECOND} per second'
+            f'at a limit per second of {LIMIT_PER_SECOND}'
         )
 
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -108,7 +108,7 @@
             self.process.wait()
 
     def read_log_lines(self) -> list[dict[str, Any]]:
-        """Read its log lines; one that isn't JSON becomes a ``no-json`` line."""
+        """Read its log; a line that isn't JSON becomes a ``no-json`` event."""
         lines = self.output.read_text().splitlines()
         return [
             json.loads(line)
