--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds ryelatch; none belongs to the product."""
+"""Stand-ins for the platform, engines and services, for tests only."""
--- a/tests/standins/booking.py
+++ b/tests/standins/booking.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: bookings that must not be made twice."""
+"""Stand-in for a non-model service with bookings that may run only once."""
 
 import argparse
 import asyncio
@@ -15,7 +15,7 @@
 
 
 async def book(request: web.Request) -> web.StreamResponse:
-    """Run a request, and count it by the caller's own reference."""
+    """Run a request, and count its runs by its body or path."""
     body = await request.text()
     faults: dict[str, Any] = request.app[FAULTS]
     request.app[HEADERS].append(list(request.headers.items()))
@@ -37,20 +37,20 @@
 
 
 async def show_health(request: web.Request) -> web.Response:
-    """Tell whether it takes new work."""
+    """Report whether the service accepts new requests."""
     leaving = request.app[FAULTS].get('leaving')
     return web.Response(status=503 if leaving else 200)
 
 
 async def show_runs(request: web.Request) -> web.Response:
-    """Show how often each request ran."""
+    """Serve how often each request ran, and the headers of all requests."""
     return web.json_response(
         {'runs': request.app[RUNS], 'headers': request.app[HEADERS]}
     )
 
 
 async def set_faults(request: web.Request) -> web.Response:
-    """Replace what goes wrong."""
+    """Replace the faults."""
     request.app[FAULTS].clear()
     request.app[FAULTS].update(await request.json())
     return web.json_response({})
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine that holds a range of layers."""
+"""Stand-in for a model engine that has a range of layers loaded."""
 
 import argparse
 import asyncio
@@ -28,16 +28,21 @@
 from standins import model
 from standins.server import make_app, serve
 
-WORD = 8
-_KEPT_RESULTS = 64
-_BATCH = 512
-_GATHER = 0.1
-_LEDGER = 2_000_000
+WORD_BYTES = 8
+_MAX_KEPT_RECEIPTS = 64
+_MAX_BATCH_POSITIONS = 512
+_GATHER_RATIO = 0.1
+_MAX_LEDGER_ENTRIES = 2_000_000
 
 
 @dataclass
 class Stream:
-    """The KV cache of one stream, and the answers kept for repeats."""
+    """KV cache of a stream, and recent receipts for repeated steps.
+
+    :param caches: one value for each loaded layer.
+    :param length: number of positions in the cache.
+    :param receipts: by position of their step.
+    """
 
     attempt: int
     caches: list[int]
@@ -47,7 +52,10 @@
 
 @dataclass(eq=False)
 class Connection:
-    """A node's connection."""
+    """Connection of a node.
+
+    :param silent: whether frames are dropped in both directions.
+    """
 
     socket: web.WebSocketResponse
     outbox: list[Frame] = field(default_factory=list)
@@ -55,7 +63,7 @@
 
 
 class Engine:
-    """Batches steps, runs layers, and keeps a ledger of what it ran."""
+    """Runs steps in batches, and records each in a ledger."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -67,108 +75,108 @@
             options.first,
             options.last,
             options.kind,
-            _BATCH / (options.step_ms / 1000),
+            _MAX_BATCH_POSITIONS / (options.step_ms / 1000),
         )
         self.connections: set[Connection] = set()
         self.streams: dict[str, Stream] = {}
         self.ledger: deque[tuple[str, int, int, int, int, int]] = deque(
-            maxlen=_LEDGER
+            maxlen=_MAX_LEDGER_ENTRIES
         )
         self.cancelled: dict[str, int] = {}
-        self.orders: list[dict[str, Any]] = []
+        self.commands: list[dict[str, Any]] = []
         self.faults: dict[str, Any] = {}
-        self.stale: list[tuple[Connection, Receipt]] = []
+        self.last_receipts: list[tuple[Connection, Receipt]] = []
         self._queue: list[tuple[int, int, Step, Connection]] = []
         self._numbers = itertools.count()
-        self._filled = asyncio.Event()
+        self._work_available = asyncio.Event()
 
-    def change(self, **fields: Any) -> None:
-        """Change what the engine says of itself and tell all nodes."""
+    def update_hello(self, **fields: Any) -> None:
+        """Change fields of the engine's ``Hello``, and send it to all nodes."""
         self.hello = msgspec.structs.replace(self.hello, **fields)
         for connection in self.connections:
             connection.outbox.append(self.hello)
-        self._filled.set()
+        self._work_available.set()
 
-    def put(self, step: Step, connection: Connection) -> None:
-        """Queue a step."""
+    def enqueue(self, step: Step, connection: Connection) -> None:
+        """Queue a step, in the order of priority and arrival."""
         entry = (-step.priority, next(self._numbers), step, connection)
         heapq.heappush(self._queue, entry)
-        self._filled.set()
+        self._work_available.set()
 
     async def run(self) -> None:
-        """Run a batch in each step time while there is work."""
+        """Run one batch per step time while steps are queued."""
         while True:
-            await self._filled.wait()
-            self._filled.clear()
+            await self._work_available.wait()
+            self._work_available.clear()
             if self._queue:
-                # Streams answered just now come back for their next token a
-                # moment later; a batch begun at once would split them into
-                # groups that wait for each other.
-                await asyncio.sleep(self.options.step_ms / 1000 * _GATHER)
+                # Streams whose receipts were just sent return with their next
+                # steps a moment later. A batch started at once would miss
+                # them, and split the streams into alternating groups.
+                await asyncio.sleep(self.options.step_ms / 1000 * _GATHER_RATIO)
             positions = 0
             batch: list[tuple[Step, Connection]] = []
-            while self._queue and positions < _BATCH:
+            while self._queue and positions < _MAX_BATCH_POSITIONS:
                 _, _, step, connection = heapq.heappop(self._queue)
                 batch.append((step, connection))
                 positions += step.count
             if batch:
-                rest = 1 - _GATHER
+                remaining_ratio = 1 - _GATHER_RATIO
                 await asyncio.sleep(
-                    self.options.step_ms / 1000 * rest
+                    self.options.step_ms / 1000 * remaining_ratio
                     + positions * self.options.position_us / 1e6
                 )
             for step, connection in batch:
-                self._answer(step, connection)
+                self._send_result(step, connection)
             if self._queue:
-                self._filled.set()
+                self._work_available.set()
             await asyncio.gather(
                 *(self._flush(connection) for connection in self.connections)
             )
 
-    def take(self, frame: Frame, connection: Connection) -> None:
-        """Take a frame of a node."""
+    def handle_frame(self, frame: Frame, connection: Connection) -> None:
+        """Handle a frame from a node."""
         match frame:
             case Step():
-                self.put(frame, connection)
+                self.enqueue(frame, connection)
             case Ping():
                 waiting = sum(entry[2].count for entry in self._queue)
                 connection.outbox.append(Pong(frame.number, waiting))
-                self._filled.set()
+                self._work_available.set()
             case Cancel():
                 self.cancelled[frame.stream] = frame.attempt
                 stream = self.streams.get(frame.stream)
                 if stream and stream.attempt <= frame.attempt:
                     del self.streams[frame.stream]
 
-    def _answer(self, step: Step, connection: Connection) -> None:
+    def _send_result(self, step: Step, connection: Connection) -> None:
         answer = self._run_step(step)
         if isinstance(answer, Receipt):
             if self.faults.get('lose', 0) > 0:
                 self.faults['lose'] -= 1
                 return
-            if self.faults.get('stale') and self.stale:
-                connection.outbox.append(self.stale[-1][1])
+            if self.faults.get('stale') and self.last_receipts:
+                connection.outbox.append(self.last_receipts[-1][1])
             if self.faults.get('double'):
                 connection.outbox.append(answer)
             if self.faults.get('lie'):
                 answer = msgspec.structs.replace(answer, last=answer.last + 1)
-            self.stale = [(connection, answer)]
+            self.last_receipts = [(connection, answer)]
         connection.outbox.append(answer)
 
     def _refuse(self, step: Step, reason: str) -> Refusal:
         return Refusal(step.stream, step.attempt, step.position, reason)
 
     def _run_step(self, step: Step) -> Receipt | Refusal:
-        mine = self.hello
-        if (step.first, step.last) != (mine.first, mine.last):
+        hello = self.hello
+        if (step.first, step.last) != (hello.first, hello.last):
             return self._refuse(step, 'layers')
-        if step.version != mine.version:
+        if step.version != hello.version:
             return self._refuse(step, 'version')
         if self.cancelled.get(step.stream, 0) >= step.attempt:
             return self._refuse(step, 'cancelled')
         stream = self.streams.get(step.stream)
         if stream is None or stream.attempt < step.attempt:
-            caches = [0] * (mine.last - mine.first)
+            caches = [0] * (hello.last - hello.first)
             stream = Stream(step.attempt, caches)
             self.streams[step.stream] = stream
         if stream.attempt > step.attempt:
@@ -179,18 +187,18 @@
             return self._refuse(step, 'gap')
         receipt = self._compute(stream, step)
         stream.kept[step.position] = receipt
-        if len(stream.kept) > _KEPT_RESULTS:
+        if len(stream.kept) > _MAX_KEPT_RECEIPTS:
             stream.kept.pop(next(iter(stream.kept)))
         return receipt
 
     def _compute(self, stream: Stream, step: Step) -> Receipt:
-        mine = self.hello
-        size = max(WORD, self.options.activation_bytes)
+        hello = self.hello
+        size = max(WORD_BYTES, self.options.activation_bytes)
         activations = (
             [model.embed(token) for token in step.tokens]
-            if mine.first == 0
+            if hello.first == 0
             else [
-                int.from_bytes(step.payload[start : start + WORD], 'big')
+                int.from_bytes(step.payload[start : start + WORD_BYTES], 'big')
                 for start in range(0, len(step.payload), size)
             ]
         )
@@ -202,24 +210,24 @@
                 step.attempt,
                 step.position,
                 step.count,
-                mine.first,
-                mine.last,
+                hello.first,
+                hello.last,
             )
         )
-        ends = mine.last == self.options.layers
+        is_last = hello.last == self.options.layers
         return Receipt(
             step.stream,
             step.attempt,
             step.position,
             step.count,
-            mine.first,
-            mine.last,
-            mine.version,
-            (model.sample(outputs[-1]),) if ends and step.sample else (),
+            hello.first,
+            hello.last,
+            hello.version,
+            (model.sample(outputs[-1]),) if is_last and step.sample else (),
             b''
-            if ends
+            if is_last
             else b''.join(
-                output.to_bytes(WORD, 'big').ljust(size, b'\0')
+                output.to_bytes(WORD_BYTES, 'big').ljust(size, b'\0')
                 for output in outputs
             ),
         )
@@ -242,7 +250,7 @@
 
 
 async def open_steps(request: web.Request) -> web.WebSocketResponse:
-    """Serve the stream of frames of one node."""
+    """Serve the WebSocket connection of a node."""
     engine = request.app[ENGINE]
     socket = web.WebSocketResponse(max_msg_size=64 * 2**20, compress=False)
     await socket.prepare(request)
@@ -253,40 +261,40 @@
         async for message in socket:
             if message.type is WSMsgType.BINARY and not connection.silent:
                 for frame in decode_frames(message.data):
-                    engine.take(frame, connection)
+                    engine.handle_frame(frame, connection)
     finally:
         engine.connections.discard(connection)
     return socket
 
 
-async def take_order(request: web.Request) -> web.Response:
-    """Take an order to hold other layers or another version."""
+async def handle_command(request: web.Request) -> web.Response:
+    """Handle a command to load other layers or another version."""
     engine = request.app[ENGINE]
-    order = await request.json()
-    fence = order.pop('fence')
+    command = await request.json()
+    fence = command.pop('fence')
     if engine.options.fencing and fence < engine.hello.fence:
         return web.json_response({'error': 'old fence'}, status=409)
-    engine.orders.append({'fence': fence, **order})
+    engine.commands.append({'fence': fence, **command})
     await asyncio.sleep(engine.options.load_ms / 1000)
     engine.streams.clear()
-    engine.change(fence=max(fence, engine.hello.fence), **order)
+    engine.update_hello(fence=max(fence, engine.hello.fence), **command)
     return web.json_response({'fence': engine.hello.fence})
 
 
 async def show_ledger(request: web.Request) -> web.Response:
-    """Show all that was run, and what is still held."""
+    """Serve the ledger, the open streams and the received commands."""
     engine = request.app[ENGINE]
     return web.json_response(
         {
             'ledger': list(engine.ledger),
             'streams': sorted(engine.streams),
-            'orders': engine.orders,
+            'orders': engine.commands,
         }
     )
 
 
 async def set_faults(request: web.Request) -> web.Response:
-    """Set faults, or change what the engine says of itself."""
+    """Set faults, step and load times, or fields of the engine's ``Hello``."""
     engine = request.app[ENGINE]
     changes = await request.json()
     engine.faults = changes.pop('faults', engine.faults)
@@ -294,28 +302,28 @@
         if name in changes:
             setattr(engine.options, name, changes.pop(name))
     if changes:
-        engine.change(**changes)
+        engine.update_hello(**changes)
     return web.json_response({})
 
 
 async def complete_directly(request: web.Request) -> web.StreamResponse:
-    """Stream a completion without a router, to compare with."""
+    """Stream a completion without a router, as a baseline of its speed."""
     engine = request.app[ENGINE]
     wanted = await request.json()
     response = web.StreamResponse()
     response.content_type = 'text/event-stream'
     await response.prepare(request)
     for _ in range(wanted['max_tokens']):
-        # In two parts, as a batch is: each has its own timer error.
-        for share in (_GATHER, 1 - _GATHER):
-            await asyncio.sleep(engine.options.step_ms / 1000 * share)
+        # In two parts as in ``run``, since each sleep adds its timer error.
+        for ratio in (_GATHER_RATIO, 1 - _GATHER_RATIO):
+            await asyncio.sleep(engine.options.step_ms / 1000 * ratio)
         await response.write(b'data: {"choices":[{"text":"x"}]}\n\n')
     await response.write(b'data: [DONE]\n\n')
     return response
 
 
 def parse_options() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--name', required=True)
@@ -328,7 +336,7 @@
     parser.add_argument('--step-ms', type=float, default=2)
     parser.add_argument('--position-us', type=float, default=0)
     parser.add_argument('--load-ms', type=float, default=50)
-    parser.add_argument('--activation-bytes', type=int, default=WORD)
+    parser.add_argument('--activation-bytes', type=int, default=WORD_BYTES)
     parser.add_argument('--fencing', action='store_true')
     return parser.parse_args()
 
@@ -347,10 +355,10 @@
     app.add_routes(
         [
             web.get('/v1/steps', open_steps),
-            web.post('/v1/orders', take_order),
+            web.post('/v1/orders', handle_command),
             web.post('/v1/completions', complete_directly),
             web.get('/control/ledger', show_ledger),
-            web.put('/control/state', set_faults),
+            web.enqueue('/control/state', set_faults),
         ]
     )
     running = asyncio.create_task(engine.run())
--- a/tests/standins/model.py
+++ b/tests/standins/model.py
@@ -1,8 +1,8 @@
-"""A deterministic model whose every layer changes the text.
+"""Deterministic model in which each layer affects the generated text.
 
-A layer folds each position into its own cache entry and mixes that into the
-activation; so a layer skipped, run twice or fed from another stream gives
-another text from there on.
+A layer hashes each position into its own cache and mixes the cache into the
+activation. A layer that is skipped, run twice or run with another stream's
+cache changes all text from that position on.
 """
 
 from collections.abc import Sequence
@@ -12,12 +12,12 @@
 _FOLD = 1442695040888963407
 _FIRST_PRINTABLE = 32
 _PRINTABLE = 95
-_END_ONE_IN = 997
+_END_TOKEN_PERIOD = 997
 END_TOKEN = 0
 
 
 def embed(token: int) -> int:
-    """Turn a token into the activation that enters layer 0."""
+    """Compute the activation of a token that enters layer 0."""
     return (token + 1) * _FOLD % _MODULUS
 
 
@@ -32,14 +32,18 @@
 
 
 def sample(activation: int) -> int:
-    """Turn the activation that leaves the last layer into a token."""
-    if activation % _END_ONE_IN == 0:
+    """Compute the token from the activation that leaves the last layer."""
+    if activation % _END_TOKEN_PERIOD == 0:
         return END_TOKEN
-    return _FIRST_PRINTABLE + activation // _END_ONE_IN % _PRINTABLE
+    return _FIRST_PRINTABLE + activation // _END_TOKEN_PERIOD % _PRINTABLE
 
 
 def complete(prompt: Sequence[int], layers: int, limit: int) -> str:
-    """Give the right answer to a prompt."""
+    """Compute the correct answer to a prompt.
+
+    :param layers: number of layers of the model.
+    :param limit: most tokens of the answer.
+    """
     caches = [0] * layers
     text: list[int] = []
     pending = list(prompt)
@@ -60,6 +64,6 @@
 
 
 def complete_chat(content: str, layers: int, limit: int) -> str:
-    """Give the right answer to a chat of one user turn."""
+    """Compute the correct answer to a chat of one user message."""
     text = f'user: {content}\nassistant: '
     return complete(text.encode(), layers, limit)
--- a/tests/standins/objects.py
+++ b/tests/standins/objects.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: objects, conditions, watches."""
+"""Stand-in for the object store that the platform adapter uses."""
 
 import asyncio
 import contextlib
@@ -9,11 +9,13 @@
 
 
 class ObjectStore:
-    """Objects by kind and name, one revision counter, and its troubles.
+    """Objects by kind and name under one revision counter, with faults.
 
-    :param mode: ``ok``, ``busy`` (503) or ``silent``.
-    :param lose_answers: writes that take effect and are not answered.
-    :param deaf: whether watches hear nothing.
+    :param mode: ``ok``, ``busy`` (each call gets 503) or ``silent`` (none gets
+        an answer).
+    :param lose_answers: number of next writes that take effect without answer.
+    :param deaf: whether watches report no changes.
+    :param calls: method and path of each call.
     """
 
     def __init__(self) -> None:
@@ -24,11 +26,14 @@
         self.revision = 0
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
         self._history: list[tuple[int, str, dict[str, Any]]] = []
-        self._kept_since = 0
+        self._history_start = 0
         self._changed = asyncio.Event()
 
     def put(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object, as operators and replicas do."""
+        """Write an object, as operators and replicas do.
+
+        :returns: its revision.
+        """
         self.revision += 1
         found = {
             'metadata': {'name': name, 'revision': self.revision},
@@ -36,27 +41,27 @@
             'status': None,
         }
         self._objects.setdefault(kind, {})[name] = found
-        self._note(kind, {'object': found, 'deleted': False})
+        self._record(kind, {'object': found, 'deleted': False})
         return self.revision
 
     def drop(self, kind: str, name: str) -> None:
         """Delete an object."""
         found = self._objects[kind].pop(name)
         self.revision += 1
-        self._note(kind, {'object': found, 'deleted': True})
+        self._record(kind, {'object': found, 'deleted': True})
 
     def get(self, kind: str, name: str) -> dict[str, Any] | None:
-        """Read an object as it is."""
+        """Return an object with its metadata, or None."""
         return self._objects.get(kind, {}).get(name)
 
     def forget_history(self) -> None:
-        """Drop all history, so that older watches get 410."""
+        """Drop all history, so that watches since older revisions get 410."""
         self._history.clear()
-        self._kept_since = self.revision
-        self._wake()
+        self._history_start = self.revision
+        self._notify_watchers()
 
     def make_app(self) -> web.Application:
-        """Make the HTTP side."""
+        """Make the HTTP application that serves the store."""
         app = web.Application()
         app.router.add_get('/objects/{kind}', self._list)
         app.router.add_post('/objects/{kind}', self._create)
@@ -65,15 +70,15 @@
         app.router.add_delete('/objects/{kind}/{name}', self._delete)
         return app
 
-    def _note(self, kind: str, event: dict[str, Any]) -> None:
+    def _record(self, kind: str, event: dict[str, Any]) -> None:
         self._history.append((self.revision, kind, event))
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _trouble(self, request: web.Request) -> web.Response | None:
+    async def _apply_fault(self, request: web.Request) -> web.Response | None:
         self.calls.append(f'{request.method} {request.path_qs}')
         if self.mode == 'silent':
             await asyncio.Event().wait()
@@ -82,9 +87,9 @@
         return None
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        trouble = await self._trouble(request)
-        if trouble is not None:
-            return trouble
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         kind = request.match_info['kind']
         if 'watch' in request.query:
             return await self._watch(kind, request)
@@ -93,11 +98,13 @@
             key=lambda found: found['metadata']['name'],
         )
         after = request.query.get('after', '')
-        rest = [one for one in entries if one['metadata']['name'] > after]
+        following = [
+            entry for entry in entries if entry['metadata']['name'] > after
+        ]
         return web.json_response(
             {
-                'entries': rest[:20],
-                'hasMore': len(rest) > 20,
+                'entries': following[:20],
+                'hasMore': len(following) > 20,
                 'at': self.revision,
             }
         )
@@ -107,26 +114,26 @@
     ) -> web.StreamResponse:
         since = int(request.query['watch'])
         loop = asyncio.get_running_loop()
-        ends = loop.time() + int(request.query['waitMs']) / 1000
+        deadline = loop.time() + int(request.query['waitMs']) / 1000
         while True:
-            if since < self._kept_since and not self.deaf:
+            if since < self._history_start and not self.deaf:
                 return web.json_response({'at': self.revision}, status=410)
             events = [
                 event
                 for revision, of, event in self._history
                 if revision > since and of == kind and not self.deaf
             ]
-            left = ends - loop.time()
-            if events or left <= 0:
+            remaining = deadline - loop.time()
+            if events or remaining <= 0:
                 at = since if self.deaf else self.revision
                 return web.json_response({'events': events, 'at': at})
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining)
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
-        trouble = await self._trouble(request)
-        if trouble is not None:
-            return trouble
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         found = self.get(request.match_info['kind'], request.match_info['name'])
         if found is None:
             return web.json_response({'at': self.revision}, status=404)
@@ -154,9 +161,9 @@
         return await self._write(request, kind, name, body)
 
     async def _delete(self, request: web.Request) -> web.StreamResponse:
-        trouble = await self._trouble(request)
-        if trouble is not None:
-            return trouble
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         kind = request.match_info['kind']
         name = request.match_info['name']
         held = self.get(kind, name)
@@ -175,9 +182,9 @@
         name: str,
         body: dict[str, Any],
     ) -> web.StreamResponse:
-        trouble = await self._trouble(request)
-        if trouble is not None:
-            return trouble
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         self.put(kind, name, body['spec'])
         if self.lose_answers:
             self.lose_answers -= 1
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: object API, list of VMs, and its failures."""
+"""Stand-in for the platform: object store, list of VMs, and their faults."""
 
 import argparse
 import asyncio
@@ -15,12 +15,15 @@
 
 @dataclass
 class Faults:
-    """What goes wrong.
-
-    :param slow: seconds before each call.
-    :param lose: writes that take effect and get no answer.
-    :param late: writes that get no answer and land this many seconds later.
-    :param lag: seconds by which the list of VMs is behind.
+    """Faults of the platform.
+
+    :param outage: whether all calls get 503.
+    :param slow: seconds of delay before each call.
+    :param lose: number of next writes that take effect and get no answer.
+    :param late: number of next writes that get no answer and take effect later.
+    :param late_by: seconds after which a late write takes effect.
+    :param lag: seconds by which the list of VMs is out of date.
+    :param match: part of the keys to which ``lose`` and ``late`` apply.
     """
 
     outage: bool = False
@@ -34,7 +37,13 @@
 
 @dataclass
 class State:
-    """All that the platform keeps."""
+    """State of the platform.
+
+    :param objects: version and body by key.
+    :param vms: lists of VMs, each with the monotonic time since when it holds.
+    :param counts: number of calls by method and kind.
+    :param version: of the last write.
+    """
 
     objects: dict[str, tuple[int, bytes]] = field(default_factory=dict)
     vms: list[tuple[float, list[dict[str, Any]]]] = field(
@@ -51,8 +60,10 @@
 
 
 @web.middleware
-async def disturb(request: web.Request, handler: Any) -> web.StreamResponse:
-    """Count calls, check the token, and bring about outages."""
+async def apply_faults(
+    request: web.Request, handler: Any
+) -> web.StreamResponse:
+    """Count calls, check the token, and apply delays and outages."""
     state = request.app[STATE]
     if request.path.startswith('/control'):
         response: web.StreamResponse = await handler(request)
@@ -69,20 +80,20 @@
     return response
 
 
-def _answer(entry: tuple[int, bytes] | None) -> web.Response:
+def _make_response(entry: tuple[int, bytes] | None) -> web.Response:
     if entry is None:
         return web.Response(status=404)
     return web.Response(body=entry[1], headers={'ETag': f'"{entry[0]}"'})
 
 
 async def get_object(request: web.Request) -> web.Response:
-    """Read an object."""
+    """Serve an object, with its version as the ETag."""
     state = request.app[STATE]
-    return _answer(state.objects.get(request.match_info['key']))
+    return _make_response(state.objects.get(request.match_info['key']))
 
 
 async def list_objects(request: web.Request) -> web.Response:
-    """List keys by prefix."""
+    """Serve the keys with a prefix."""
     prefix = request.query.get('prefix', '')
     objects = request.app[STATE].objects
     return web.json_response(
@@ -91,7 +102,7 @@
 
 
 async def write_object(request: web.Request) -> web.Response:
-    """Create, replace or delete an object under a condition."""
+    """Create, replace or delete an object, on the condition in the headers."""
     state = request.app[STATE]
     key = request.match_info['key']
     body = await request.read()
@@ -141,7 +152,7 @@
 
 
 async def watch_object(request: web.Request) -> web.Response:
-    """Wait until an object has another version."""
+    """Wait until an object has another version, and serve it."""
     state = request.app[STATE]
     key = request.match_info['key']
     after = int(request.query['after'])
@@ -158,40 +169,42 @@
     except TimeoutError:
         known = key in state.objects or not after
         return web.Response(status=304 if known else 404)
-    return _answer(state.objects[key])
+    return _make_response(state.objects[key])
 
 
 async def list_vms(request: web.Request) -> web.Response:
-    """List VMs as they were a while ago."""
+    """Serve the list of VMs as it was ``lag`` seconds ago."""
     state = request.app[STATE]
-    asof = time.monotonic() - state.faults.lag
-    seen = [vms for since, vms in state.vms if since <= asof]
-    etag = f'"{len(seen)}"'
+    as_of = time.monotonic() - state.faults.lag
+    published = [vms for since, vms in state.vms if since <= as_of]
+    etag = f'"{len(published)}"'
     if request.headers.get('If-None-Match') == etag:
         return web.Response(status=304)
-    return web.json_response(seen[-1] if seen else [], headers={'ETag': etag})
+    return web.json_response(
+        published[-1] if published else [], headers={'ETag': etag}
+    )
 
 
 async def set_vms(request: web.Request) -> web.Response:
-    """Set the true list of VMs."""
+    """Set the current list of VMs."""
     state = request.app[STATE]
     state.vms.append((time.monotonic(), await request.json()))
     return web.json_response({})
 
 
 async def set_faults(request: web.Request) -> web.Response:
-    """Replace what goes wrong."""
+    """Replace the faults."""
     request.app[STATE].faults = Faults(**await request.json())
     return web.json_response({})
 
 
 async def show_counts(request: web.Request) -> web.Response:
-    """Show how many calls were made, by method and kind."""
+    """Serve the number of calls by method and kind."""
     return web.json_response(request.app[STATE].counts)
 
 
 async def show_objects(request: web.Request) -> web.Response:
-    """Show versions by key, for tests."""
+    """Serve the versions of all objects by key."""
     objects = request.app[STATE].objects
     return web.Response(
         text=json.dumps({key: entry[0] for key, entry in objects.items()})
@@ -205,7 +218,7 @@
     parser.add_argument('--token', default='platform-token')
     arguments = parser.parse_args()
     app = make_app()
-    app.middlewares.append(disturb)
+    app.middlewares.append(apply_faults)
     app[STATE] = State()
     app[TOKEN] = arguments.token
     app.add_routes(
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -1,4 +1,4 @@
-"""A stand-in for a replica: plain calls, streams over paths, orders."""
+"""Stand-in for a replica: requests, event streams, reports and commands."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,8 @@
 class Run:
     """A request that the replica received.
 
-    :param at: when it came, by the loop's clock.
+    :param cancelled: whether the client disconnected before the answer.
+    :param at: when it was received, in seconds of the event loop's clock.
     """
 
     identity: str
@@ -33,29 +34,38 @@
 
 @dataclass(eq=False)
 class ReplicaStandIn:
-    """One life of a replica.
+    """A replica with its state and its faults.
 
-    :param layers: held, as first and end.
-    :param events: of each stream.
+    :param accelerator: kind of its accelerator; empty for a non-model service.
+    :param layers: loaded layers, as first and end.
+    :param events: number of events of each stream.
     :param pause: seconds between events.
-    :param break_after: event after which the stream is torn, once.
-    :param stall_after: event after which the stream stands still until its
-        path is another.
-    :param stalls: how many streams stand still.
-    :param stalled_on: the address that the report then names.
-    :param refuse: status of refusals, each with the "not run" mark.
-    :param fail: status of its own failures.
-    :param failures: requests that it fails before it is well.
-    :param hang: whether it takes requests and never answers.
-    :param other_identity: whether it answers under another request's name.
-    :param born: milliseconds; 0 if it does not say when it began.
-    :param unframed_part: whether it sends a part without a length and resets.
-    :param ends_on: body of a request under which it ends, once the head of
-        its answer has gone out; nothing can be reached there from then on.
-    :param ended: whether it has.
-    :param says: headers that it adds to all its answers.
-    :param refusals: when it refused, by the loop's clock.
-    :param reports: how often it was asked for one.
+    :param break_after: number of the event after which the next stream is
+        aborted, once.
+    :param stall_after: number of the event after which a stream stalls until
+        it is moved to another path.
+    :param stalls: number of next streams that stall.
+    :param stalled_on: address of the replica that the report then names as
+        the cause.
+    :param refuse: status of refusals, each with the "not run" header.
+    :param fail: status with which it fails requests; 0 for none.
+    :param failures: number of next requests that it fails with 500.
+    :param hang: whether it accepts requests and never answers.
+    :param other_identity: whether it answers with another request's id.
+    :param unframed_part: whether it sends a partial answer without a length,
+        and resets the connection.
+    :param ends_on: body of a request that crashes it, after the head of a
+        stream's answer was sent; its address refuses connections from then on.
+    :param ended: whether it has crashed.
+    :param says: additional headers of all its answers.
+    :param refusals: times of its refusals, by the event loop's clock.
+    :param reports: number of reports that nodes requested.
+    :param born: start of its incarnation in milliseconds, as reported; 0 if
+        it reports none.
+    :param runs: requests that it received and didn't refuse.
+    :param orders: commands that it received.
+    :param sequence: number of commands that changed its layers.
+    :param fence: fencing number of the last of them.
     :param stop_listening: makes its address refuse connections.
     """
 
@@ -91,10 +101,10 @@
     _moved: asyncio.Event = field(default_factory=asyncio.Event)
     _stalled: dict[str, str] = field(default_factory=dict)
     stop_listening: Callable[[], Awaitable[None]] | None = None
-    _open: set[asyncio.Transport] = field(default_factory=set)
+    _transports: set[asyncio.Transport] = field(default_factory=set)
 
     def register(self, state: str = 'ready') -> None:
-        """Write the entry in the registry."""
+        """Write its entry in the registry."""
         assert self.store is not None
         entry: dict[str, Any] = {
             'service': self.service,
@@ -110,39 +120,39 @@
             entry['born'] = self.born
         if self.accelerator:
             entry['routeKind'] = self.accelerator
-            entry['layers'] = self._write_layers()
+            entry['layers'] = self._encode_layers()
         self.store.put('servers', self.name, entry)
 
     @property
     def streams(self) -> int:
-        """Count the requests that it is running."""
-        return 0 if self.ended else len(self._open)
+        """Number of requests that it is running."""
+        return 0 if self.ended else len(self._transports)
 
     async def end(self) -> None:
-        """End as a process does: nothing listens, connections are reset."""
+        """Crash like a process: stop listening and reset all connections."""
         self.ended = True
         assert self.stop_listening is not None
         await self.stop_listening()
-        for transport in tuple(self._open):
+        for transport in tuple(self._transports):
             transport.abort()
 
     def resume(self) -> None:
-        """Let streams that stand still go on."""
+        """Let stalled streams continue."""
         self._stalled.clear()
         self._moved.set()
 
     def make_app(self) -> web.Application:
-        """Make the HTTP side."""
+        """Make the HTTP application of the replica."""
         app = web.Application()
         app.router.add_get('/report', self._report)
-        app.router.add_post('/order', self._order)
+        app.router.add_post('/order', self._handle_command)
         app.router.add_route('*', '/{path:.*}', self._serve)
         return app
 
     def start_again(self, name: str = '') -> None:
-        """Crash and start again, with nothing held or counted.
+        """Restart as a new incarnation without layers and counters.
 
-        :param name: of the new life, where it has another than the old one.
+        :param name: name of the new incarnation, if it differs.
         """
         self.name = name or self.name
         self.born += 1000
@@ -152,7 +162,7 @@
         self.fence = 0
         self.resume()
 
-    def _write_layers(self) -> dict[str, int] | None:
+    def _encode_layers(self) -> dict[str, int] | None:
         if self.layers is None:
             return None
         first, end = self.layers
@@ -172,24 +182,24 @@
                 'busy': False,
                 'seq': self.sequence,
                 'stalled': stalled,
-                'layers': self._write_layers(),
+                'layers': self._encode_layers(),
                 'born': self.born,
             }
         )
 
-    async def _order(self, request: web.Request) -> web.Response:
-        order = await request.json()
-        self.orders.append(order)
-        if order['op'] == 'repath':
+    async def _handle_command(self, request: web.Request) -> web.Response:
+        command = await request.json()
+        self.orders.append(command)
+        if command['op'] == 'repath':
             self.resume()
             return web.json_response({}, status=202)
-        if order.get('fencingToken', 0) < self.fence:
+        if command.get('fencingToken', 0) < self.fence:
             return web.json_response({}, status=412)
-        if order.get('expect', self.sequence) != self.sequence:
+        if command.get('expect', self.sequence) != self.sequence:
             return web.json_response({}, status=409)
-        self.fence = order.get('fencingToken', 0)
+        self.fence = command.get('fencingToken', 0)
         self.sequence += 1
-        self.layers = (order['from'], order['to'])
+        self.layers = (command['from'], command['to'])
         self.register()
         return web.json_response({}, status=202)
 
@@ -199,11 +209,11 @@
         if self.ended:
             transport.abort()
             return web.Response()
-        self._open.add(transport)
+        self._transports.add(transport)
         try:
             return await self._answer(request)
         finally:
-            self._open.discard(transport)
+            self._transports.discard(transport)
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
         identity = request.headers.get('X-Ryelatch-Request-Id', '')
@@ -212,21 +222,24 @@
             return web.Response(
                 status=421,
                 headers={
-                    **self._name(identity),
+                    **self._make_headers(identity),
                     'X-Ryelatch-Replica-Id': self.name,
                 },
             )
         if self.accelerator and self.layers is None:
             return web.Response(
                 status=421,
-                headers={**self._name(identity), 'At-Server': self.address},
+                headers={
+                    **self._make_headers(identity),
+                    'At-Server': self.address,
+                },
             )
         if self.refuse:
             self.refusals.append(_read_clock())
             return web.Response(
                 status=self.refuse,
                 headers={
-                    **self._name(identity),
+                    **self._make_headers(identity),
                     'X-Ryelatch-Not-Executed': '1',
                     'At-Server': self.address,
                 },
@@ -248,32 +261,36 @@
         if self.hang:
             await asyncio.Event().wait()
         if self.ends_on and run.body == self.ends_on:
-            return await self._end_under(request, run)
-        headers = self._sign('other' if self.other_identity else run.identity)
+            return await self._crash_during(request, run)
+        headers = self._make_signed_headers(
+            'other' if self.other_identity else run.identity
+        )
         if self.failures:
             self.failures -= 1
             return web.Response(status=500, headers=headers, body=b'no')
         if self.fail:
             return web.Response(status=self.fail, headers=headers, body=b'no')
         if self.unframed_part:
-            return await self._tear_unframed(request, headers)
+            return await self._reset_unframed(request, headers)
         if 'X-Ryelatch-Hop-Count' in run.headers:
             return await self._stream(request, run, headers)
         return web.Response(
             body=f'answer of {self.name}'.encode(), headers=headers
         )
 
-    async def _end_under(
+    async def _crash_during(
         self, request: web.Request, run: Run
     ) -> web.StreamResponse:
-        response = web.StreamResponse(headers=self._sign(run.identity))
+        response = web.StreamResponse(
+            headers=self._make_signed_headers(run.identity)
+        )
         if 'X-Ryelatch-Hop-Count' in run.headers:
             await response.prepare(request)
         await asyncio.sleep(self.pause)
         await self.end()
         return response
 
-    async def _tear_unframed(
+    async def _reset_unframed(
         self, request: web.Request, headers: dict[str, str]
     ) -> web.StreamResponse:
         assert request.transport is not None
@@ -283,7 +300,7 @@
         )
         await asyncio.sleep(0.05)
         sock = request.transport.get_extra_info('socket')
-        # A linger of zero makes the close a reset.
+        # Closing with SO_LINGER of zero sends a reset.
         with contextlib.suppress(OSError):
             sock.setsockopt(1, 13, b'\x01\0\0\0\0\0\0\0')
         request.transport.abort()
@@ -301,7 +318,7 @@
         await response.prepare(request)
         last = int(run.headers.get('Last-Event-Id', '0'))
         for number in range(last + 1, self.events + 1):
-            await self._wait_stalled(run, number)
+            await self._stall_if_set(run, number)
             event = f'id: {number}\ndata: token {number}\n\n'.encode()
             if self.break_after and number > self.break_after:
                 self.break_after = 0
@@ -314,18 +331,18 @@
         await response.write_eof()
         return response
 
-    async def _wait_stalled(self, run: Run, number: int) -> None:
+    async def _stall_if_set(self, run: Run, number: int) -> None:
         if self.stall_after and self.stalls and number > self.stall_after:
             self.stalls -= 1
             self._stalled[run.identity] = self.stalled_on
             await self._moved.wait()
 
-    def _name(self, identity: str) -> dict[str, str]:
+    def _make_headers(self, identity: str) -> dict[str, str]:
         return {'X-Ryelatch-Request-Id': identity, **self.says}
 
-    def _sign(self, identity: str) -> dict[str, str]:
+    def _make_signed_headers(self, identity: str) -> dict[str, str]:
         signature = f'signed-{self.name}'
         return {
-            **self._name(identity),
+            **self._make_headers(identity),
             'X-Ryelatch-Replica-Signature': signature,
         }
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: start, readiness, and connections gone silent."""
+"""HTTP server of the stand-ins, whose connections can stop responding."""
 
 import asyncio
 import contextlib
@@ -7,44 +7,53 @@
 
 from aiohttp import web
 
-MUTED = web.AppKey('muted', set)
+SILENCED = web.AppKey('muted', set)
 
 
-async def _mute(app: web.Application, request: web.Request) -> None:
-    """Never answer on a connection that was open when told to be silent."""
-    if id(request.transport) in app[MUTED]:
+async def _block_if_silenced(
+    app: web.Application, request: web.Request
+) -> None:
+    """Block for ever if the connection of a request was silenced."""
+    if id(request.transport) in app[SILENCED]:
         await asyncio.Event().wait()
 
 
 @web.middleware
-async def silence(request: web.Request, handler: Any) -> web.StreamResponse:
-    """Serve a request, unless its connection has gone silent."""
+async def block_silenced(
+    request: web.Request, handler: Any
+) -> web.StreamResponse:
+    """Serve a request, unless its connection was silenced."""
     request.app['seen'].add(id(request.transport))
-    await _mute(request.app, request)
+    await _block_if_silenced(request.app, request)
     response: web.StreamResponse = await handler(request)
     return response
 
 
-async def _go_silent(request: web.Request) -> web.Response:
+async def _silence_connections(request: web.Request) -> web.Response:
     app = request.app
-    app[MUTED].update(app['seen'] - {id(request.transport)})
+    app[SILENCED].update(app['seen'] - {id(request.transport)})
     for hook in app['on_silence']:
         hook()
     return web.json_response({})
 
 
 def make_app() -> web.Application:
-    """Make an application that can let its open connections go silent."""
-    app = web.Application(middlewares=[silence], client_max_size=64 * 2**20)
-    app[MUTED] = set()
+    """Make an application whose open connections can be silenced.
+
+    ``POST /control/silence`` silences them; new connections are served.
+    """
+    app = web.Application(
+        middlewares=[block_silenced], client_max_size=64 * 2**20
+    )
+    app[SILENCED] = set()
     app['seen'] = set()
     app['on_silence'] = []
-    app.router.add_post('/control/silence', _go_silent)
+    app.router.add_post('/control/silence', _silence_connections)
     return app
 
 
 async def serve(app: web.Application, port: int) -> None:
-    """Serve until a signal; tell the port on standard output."""
+    """Print the port to standard output, and serve until SIGTERM or SIGINT."""
     runner = web.AppRunner(app, shutdown_timeout=0.1, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, '127.0.0.1', port, backlog=1024)
