--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -47,7 +47,7 @@
     attempt: int
     caches: list[int]
     length: int = 0
-    kept: dict[int, Receipt] = field(default_factory=dict)
+    receipts: dict[int, Receipt] = field(default_factory=dict)
 
 
 @dataclass(eq=False)
@@ -149,19 +149,19 @@
                     del self.streams[frame.stream]
 
     def _send_result(self, step: Step, connection: Connection) -> None:
-        answer = self._run_step(step)
-        if isinstance(answer, Receipt):
+        result = self._run_step(step)
+        if isinstance(result, Receipt):
             if self.faults.get('lose', 0) > 0:
                 self.faults['lose'] -= 1
                 return
             if self.faults.get('stale') and self.last_receipts:
                 connection.outbox.append(self.last_receipts[-1][1])
             if self.faults.get('double'):
-                connection.outbox.append(answer)
+                connection.outbox.append(result)
             if self.faults.get('lie'):
-                answer = msgspec.structs.replace(answer, last=answer.last + 1)
-            self.last_receipts = [(connection, answer)]
-        connection.outbox.append(answer)
+                result = msgspec.structs.replace(result, last=result.last + 1)
+            self.last_receipts = [(connection, result)]
+        connection.outbox.append(result)
 
     def _refuse(self, step: Step, reason: str) -> Refusal:
         return Refusal(step.stream, step.attempt, step.position, reason)
@@ -181,14 +181,14 @@
             self.streams[step.stream] = stream
         if stream.attempt > step.attempt:
             return self._refuse(step, 'old-attempt')
-        if step.position in stream.kept:
-            return stream.kept[step.position]
+        if step.position in stream.receipts:
+            return stream.receipts[step.position]
         if step.position != stream.length:
             return self._refuse(step, 'gap')
         receipt = self._compute(stream, step)
-        stream.kept[step.position] = receipt
-        if len(stream.kept) > _MAX_KEPT_RECEIPTS:
-            stream.kept.pop(next(iter(stream.kept)))
+        stream.receipts[step.position] = receipt
+        if len(stream.receipts) > _MAX_KEPT_RECEIPTS:
+            stream.receipts.pop(next(iter(stream.receipts)))
         return receipt
 
     def _compute(self, stream: Stream, step: Step) -> Receipt:
@@ -358,7 +358,7 @@
             web.post('/v1/orders', handle_command),
             web.post('/v1/completions', complete_directly),
             web.get('/control/ledger', show_ledger),
-            web.enqueue('/control/state', set_faults),
+            web.put('/control/state', set_faults),
         ]
     )
     running = asyncio.create_task(engine.run())
--- a/tests/standins/model.py
+++ b/tests/standins/model.py
@@ -21,13 +21,15 @@
     return (token + 1) * _FOLD % _MODULUS
 
 
-def run_layer(layer: int, kept: int, activation: int) -> tuple[int, int]:
+def run_layer(
+    layer: int, previous_cache: int, activation: int
+) -> tuple[int, int]:
     """Run one layer over one position.
 
-    :param kept: the layer's cache after the position before.
-    :returns: the layer's cache, and the activation for the next layer.
+    :param previous_cache: the layer's cache after the previous position.
+    :returns: the layer's new cache, and the activation for the next layer.
     """
-    cache = (kept * _MIX + activation + layer + 1) % _MODULUS
+    cache = (previous_cache * _MIX + activation + layer + 1) % _MODULUS
     return cache, (activation * _FOLD + cache * (layer + 7)) % _MODULUS
 
 
