--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -108,14 +108,14 @@
     During the faults a node may receive no reports of the crashes; after the
     recovery, all nodes have them.
     """
-    crashed = sum(replica.ended for replica in world.replicas)
+    crash_count = sum(replica.ended for replica in world.replicas)
     late_runs = [
         run
         for _, run in _list_runs(world)
         if run.body == CRASHING_BODY and run.at > world.recovered_at
     ]
     if len(late_runs) > MAX_CRASHING_RUNS:
-        yield f'{crashed} replicas crashed; runs after recovery: {late_runs}'
+        yield f'{crash_count} replicas crashed; runs after recovery: {late_runs}'
     crashing_digests = {compute_digest(kind) for kind in CRASHING_KINDS}
     for node in world.nodes:
         for line in node.read_log_lines():
--- a/tests/standins/objects.py
+++ b/tests/standins/objects.py
@@ -35,20 +35,20 @@
         :returns: its revision.
         """
         self.revision += 1
-        found = {
+        stored = {
             'metadata': {'name': name, 'revision': self.revision},
             'spec': spec,
             'status': None,
         }
-        self._objects.setdefault(kind, {})[name] = found
-        self._record(kind, {'object': found, 'deleted': False})
+        self._objects.setdefault(kind, {})[name] = stored
+        self._record(kind, {'object': stored, 'deleted': False})
         return self.revision
 
     def drop(self, kind: str, name: str) -> None:
         """Delete an object."""
-        found = self._objects[kind].pop(name)
+        stored = self._objects[kind].pop(name)
         self.revision += 1
-        self._record(kind, {'object': found, 'deleted': True})
+        self._record(kind, {'object': stored, 'deleted': True})
 
     def get(self, kind: str, name: str) -> dict[str, Any] | None:
         """Return an object with its metadata, or None."""
@@ -95,7 +95,7 @@
             return await self._watch(kind, request)
         entries = sorted(
             self._objects.get(kind, {}).values(),
-            key=lambda found: found['metadata']['name'],
+            key=lambda stored: stored['metadata']['name'],
         )
         after = request.query.get('after', '')
         following = [
@@ -120,8 +120,8 @@
                 return web.json_response({'at': self.revision}, status=410)
             events = [
                 event
-                for revision, of, event in self._history
-                if revision > since and of == kind and not self.deaf
+                for revision, changed_kind, event in self._history
+                if revision > since and changed_kind == kind and not self.deaf
             ]
             remaining = deadline - loop.time()
             if events or remaining <= 0:
@@ -134,30 +134,32 @@
         fault_response = await self._apply_fault(request)
         if fault_response is not None:
             return fault_response
-        found = self.get(request.match_info['kind'], request.match_info['name'])
-        if found is None:
+        stored = self.get(
+            request.match_info['kind'], request.match_info['name']
+        )
+        if stored is None:
             return web.json_response({'at': self.revision}, status=404)
-        return web.json_response(found)
+        return web.json_response(stored)
 
     async def _create(self, request: web.Request) -> web.StreamResponse:
         body = json.loads(await request.read())
         name = body['metadata']['name']
         kind = request.match_info['kind']
-        held = self.get(kind, name)
-        if held is not None:
-            return web.json_response(held, status=409)
+        current = self.get(kind, name)
+        if current is not None:
+            return web.json_response(current, status=409)
         return await self._write(request, kind, name, body)
 
     async def _replace(self, request: web.Request) -> web.StreamResponse:
         body = json.loads(await request.read())
         name = request.match_info['name']
         kind = request.match_info['kind']
-        held = self.get(kind, name)
-        if held is None:
+        current = self.get(kind, name)
+        if current is None:
             return web.json_response({}, status=404)
-        wanted = body['metadata'].get('revision')
-        if wanted not in {None, held['metadata']['revision']}:
-            return web.json_response(held, status=409)
+        expected_revision = body['metadata'].get('revision')
+        if expected_revision not in {None, current['metadata']['revision']}:
+            return web.json_response(current, status=409)
         return await self._write(request, kind, name, body)
 
     async def _delete(self, request: web.Request) -> web.StreamResponse:
@@ -166,14 +168,16 @@
             return fault_response
         kind = request.match_info['kind']
         name = request.match_info['name']
-        held = self.get(kind, name)
-        if held is None:
+        current = self.get(kind, name)
+        if current is None:
             return web.json_response({}, status=404)
-        wanted = request.query.get('revision', held['metadata']['revision'])
-        if int(wanted) != held['metadata']['revision']:
-            return web.json_response(held, status=409)
+        expected_revision = request.query.get(
+            'revision', current['metadata']['revision']
+        )
+        if int(expected_revision) != current['metadata']['revision']:
+            return web.json_response(current, status=409)
         self.drop(kind, name)
-        return web.json_response(held)
+        return web.json_response(current)
 
     async def _write(
         self,
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -20,7 +20,7 @@
 class Run:
     """A request that the replica received.
 
-    :param cancelled: whether the client disconnected before the answer.
+    :param cancelled: whether the connection was closed before the answer.
     :param at: when it was received, in seconds of the event loop's clock.
     """
 
@@ -165,8 +165,8 @@
     def _encode_layers(self) -> dict[str, int] | None:
         if self.layers is None:
             return None
-        first, end = self.layers
-        return {'from': first, 'to': end, 'version': 1}
+        start, stop = self.layers
+        return {'from': start, 'to': stop, 'version': 1}
 
     async def _report(self, request: web.Request) -> web.Response:
         if self.ended:
