--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -115,7 +115,7 @@
         if run.body == CRASHING_BODY and run.at > world.recovered_at
     ]
     if len(late_runs) > MAX_CRASHING_RUNS:
-        yield f'{crash_count} replicas crashed; runs after recovery: {late_runs}'
+        yield f'{crash_count} replicas crashed; late runs: {late_runs}'
     crashing_digests = {compute_digest(kind) for kind in CRASHING_KINDS}
     for node in world.nodes:
         for line in node.read_log_lines():
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -135,11 +135,13 @@
 
 async def _write(request: web.Request, key: str, body: bytes) -> web.Response:
     state = request.app[STATE]
-    known = state.objects.get(key)
-    wanted = request.headers.get('If-Match', '').strip('"')
-    if request.headers.get('If-None-Match') == '*' and known:
+    current = state.objects.get(key)
+    expected_version = request.headers.get('If-Match', '').strip('"')
+    if request.headers.get('If-None-Match') == '*' and current:
         return web.Response(status=412)
-    if wanted and (known is None or str(known[0]) != wanted):
+    if expected_version and (
+        current is None or str(current[0]) != expected_version
+    ):
         return web.Response(status=412)
     state.version += 1
     if request.method == 'DELETE':
@@ -167,8 +169,8 @@
         ):
             await state.changed.wait_for(has_changed)
     except TimeoutError:
-        known = key in state.objects or not after
-        return web.Response(status=304 if known else 404)
+        unchanged = key in state.objects or not after
+        return web.Response(status=304 if unchanged else 404)
     return _make_response(state.objects[key])
 
 
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -60,8 +60,8 @@
     :param says: additional headers of all its answers.
     :param refusals: times of its refusals, by the event loop's clock.
     :param reports: number of reports that nodes requested.
-    :param born: start of its incarnation in milliseconds, as reported; 0 if
-        it reports none.
+    :param born: start of its incarnation as reported, in milliseconds;
+        0 if it reports none.
     :param runs: requests that it received and didn't refuse.
     :param orders: commands that it received.
     :param sequence: number of commands that changed its layers.
