--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -96,7 +96,7 @@
     """Node processes exit only when the soak ends them, and nothing crashes."""
     for node in world.nodes:
         if node.exits > node.expected_exits:
-            yield f'{node.name} ended {node.exits} times unexpectedly'
+            yield f'{node.name} exited {node.exits} times unexpectedly'
         for line in node.read_log_lines():
             if line['name'] in _CRASH_EVENTS:
                 yield f'{node.name} wrote {line}'
@@ -115,7 +115,9 @@
         if run.body == CRASHING_BODY and run.at > world.recovered_at
     ]
     if len(late_runs) > MAX_CRASHING_RUNS:
-        yield f'{crash_count} replicas crashed; late runs: {late_runs}'
+        yield (
+            f'{crash_count} replicas crashed; runs after recovery: {late_runs}'
+        )
     crashing_digests = {compute_digest(kind) for kind in CRASHING_KINDS}
     for node in world.nodes:
         for line in node.read_log_lines():
@@ -125,7 +127,7 @@
 
 
 def check_limit(world: World, clients: Clients) -> Iterator[str]:
-    """A limited replica gets about its limit at most, and not nothing."""
+    """A limited replica gets about its limit at most, but some requests."""
     if world.limited_replica is None:
         return
     limited_name, since = world.limited_replica
