--- a/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/__init__.py
@@ -3,7 +3,7 @@
 from ryelatch_core.fleet._accounts import AccountTracker
 from ryelatch_core.fleet._durations import DurationTracker
 from ryelatch_core.fleet._failures import FailureTracker
-from ryelatch_core.fleet._heads import rank_first_replicas
+from ryelatch_core.fleet._first_replicas import rank_first_replicas
 from ryelatch_core.fleet._load import NO_LOAD, LoadEstimate, LoadTracker
 from ryelatch_core.fleet._path import choose_path
 from ryelatch_core.fleet._performance import (
@@ -13,8 +13,8 @@
 )
 from ryelatch_core.fleet._plan import lacks_layers, plan_moves
 from ryelatch_core.fleet._pool import Move
-from ryelatch_core.fleet._prices import PathQuery
-from ryelatch_core.fleet._returns import RetryScheduler
+from ryelatch_core.fleet._costs import PathQuery
+from ryelatch_core.fleet._retry_delays import RetryScheduler
 from ryelatch_core.fleet._step_factors import StepFactorTracker
 from ryelatch_core.fleet._suspicion import (
     FULL_SECONDS,
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copies.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ryelatch_core.fleet._pool import Move, fit_pool
-from ryelatch_core.fleet._rows import choose_copy_groups
+from ryelatch_core.fleet._copy_groups import choose_copy_groups
 from ryelatch_core.fleet._types import LayerRange, ModelProfile, Replica
 from ryelatch_core.fleet._zones import MIN_HEADROOM
 
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_path.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ryelatch_core.fleet._prices import (
+from ryelatch_core.fleet._costs import (
     PathQuery,
     estimate_entry_cost,
     estimate_layer_costs,
--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_types.py
@@ -30,7 +30,7 @@
 
     :param name: of this incarnation; a restarted process has a new one.
     :param entry: name in the registry, which a later incarnation may share.
-    :param born: start of this incarnation in milliseconds; 0 if not reported.
+    :param started_at: start of this incarnation in milliseconds; 0 if not reported.
     :param address: ``host:port``; may belong to another replica later.
     :param accelerator: its kind; empty for a service without a model.
     :param layers: those it holds; None if it holds none yet.
@@ -49,7 +49,7 @@
     slots: int = 1
     leaving: bool = False
     entry: str = ''
-    born: int = 0
+    started_at: int = 0
 
     def __post_init__(self) -> None:
         """Use the name as entry where incarnations are not distinguished."""
@@ -57,12 +57,12 @@
             object.__setattr__(self, 'entry', self.name)
 
 
-def name_incarnation(entry: str, born: int) -> str:
+def name_incarnation(entry: str, started_at: int) -> str:
     """Build the name of an incarnation of a registry entry.
 
-    :param born: milliseconds; 0 where incarnations are not distinguished.
+    :param started_at: milliseconds; 0 where incarnations are not distinguished.
     """
-    return f'{entry}+{born}' if born else entry
+    return f'{entry}+{started_at}' if started_at else entry
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/__init__.py
@@ -1,11 +1,11 @@
 """Requests that crash replicas, and how they are recognized and refused."""
 
-from ryelatch_core.quarantine._book import (
+from ryelatch_core.quarantine._tracker import (
     CRASH_WINDOW_SECONDS,
     CrashTracker,
     StoreWrite,
 )
-from ryelatch_core.quarantine._case import (
+from ryelatch_core.quarantine._crashes import (
     MAX_INCARNATIONS,
     NO_CRASHES,
     Crashes,
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_causes.py
@@ -3,8 +3,8 @@
 import itertools
 from collections.abc import Iterable, Iterator, Mapping
 
-from ryelatch_core.quarantine._case import Crashes
-from ryelatch_core.quarantine._known import CrashState
+from ryelatch_core.quarantine._crashes import Crashes
+from ryelatch_core.quarantine._crash_state import CrashState
 
 CRASH_THRESHOLD = 3
 """Crashes under a request at which it is refused.
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_known.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_crash_state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ryelatch_core.quarantine._case import NO_CRASHES, Crashes, StoredCrashes
+from ryelatch_core.quarantine._crashes import NO_CRASHES, Crashes, StoredCrashes
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_book.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_tracker.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelatch_core.quarantine._case import (
+from ryelatch_core.quarantine._crashes import (
     NO_CRASHES,
     Crashes,
     RequestPhase,
@@ -22,7 +22,7 @@
     RETENTION_SECONDS,
     list_causes,
 )
-from ryelatch_core.quarantine._known import CrashState
+from ryelatch_core.quarantine._crash_state import CrashState
 
 CRASH_WINDOW_SECONDS = 0.5
 """Time after its first event in which a request may be the cause of a crash.
--- a/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/admission/_service.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Pass:
+class AdmissionSlot:
     """Leave to start; given back with the work done."""
 
     model: str
@@ -55,7 +55,7 @@
         model: str,
         account: AccountEntry,
         work: float,
-    ) -> Result[Pass, Failure]:
+    ) -> Result[AdmissionSlot, Failure]:
         """Wait for leave to start a request.
 
         :param work: positions that it is expected to run.
@@ -87,9 +87,9 @@
         finally:
             timer.cancel()
             self._waiters.pop(ticket.number, None)
-        return Ok(Pass(model, ticket)) if failure is None else Err(failure)
+        return Ok(AdmissionSlot(model, ticket)) if failure is None else Err(failure)
 
-    def release(self, granted: Pass, work: float) -> None:
+    def release(self, granted: AdmissionSlot, work: float) -> None:
         """Give back leave, with the work that the request really took."""
         self._find_queue(granted.model).finish(granted.ticket, work)
         self._dispatch(granted.model)
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -91,7 +91,7 @@
         return len(self.prompt) + len(self.tokens) if self.sent else 0
 
     @property
-    def ended(self) -> bool:
+    def finished(self) -> bool:
         """Whether nothing more will be produced."""
         return self.finish is not None or self.failure is not None
 
@@ -118,7 +118,7 @@
 
         :raises AnswerError: if the answer can't be completed.
         """
-        while self._delivered == len(self.tokens) and not self.ended:
+        while self._delivered == len(self.tokens) and not self.finished:
             self._news.clear()
             await self._news.wait()
         fresh = self.tokens[self._delivered :]
@@ -176,7 +176,7 @@
         A stage that was frozen can answer a step of an attempt that was
         given up; its token would be a second one for the same position.
         """
-        if step.attempt != self.attempt or self.ended:
+        if step.attempt != self.attempt or self.finished:
             return False
         return self._open_steps.pop(step.key, None) is not None
 
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Order:
+class GenerationJob:
     """What a caller asked for, checked and admitted.
 
     :param deadline: seconds for the whole answer.
@@ -59,7 +59,7 @@
         self._upstreams = upstreams
         self._zone = zone
         self._timeline = app.find('timeline', Timeline)
-        self._orders: dict[str, Order] = {}
+        self._orders: dict[str, GenerationJob] = {}
         self._answers: dict[str, Answer] = {}
         self._budget = RetryBudget()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -81,7 +81,7 @@
         """Stop looking."""
         await cancel_task(self._task)
 
-    def open(self, order: Order) -> Answer:
+    def open(self, order: GenerationJob) -> Answer:
         """Start an answer; read it, then close it."""
         answer = Answer(
             order.request,
@@ -100,7 +100,7 @@
         """End an answer, whole or not, and its work upstream."""
         self._orders.pop(answer.stream, None)
         self._answers.pop(answer.stream, None)
-        if not answer.ended:
+        if not answer.finished:
             answer.give_up(self._fail(answer, 'caller-gone'))
 
     def _fail(self, answer: Answer, code: str) -> Failure:
@@ -146,10 +146,10 @@
 
     async def _begin(self, answer: Answer, avoided: frozenset[str]) -> None:
         order = self._orders.get(answer.stream)
-        if order is None or answer.ended:
+        if order is None or answer.finished:
             return
         chain = await self._wait_chain(order, avoided)
-        if answer.ended or answer.stream not in self._orders:
+        if answer.finished or answer.stream not in self._orders:
             return
         if chain is None:
             answer.give_up(self._fail(answer, 'no-chain'))
@@ -165,7 +165,7 @@
 
     async def _wait_chain(
         self,
-        order: Order,
+        order: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
         """Find a chain, or wait a while for an engine to take the place."""
@@ -190,7 +190,7 @@
 
     def _find_chain(
         self,
-        order: Order,
+        order: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
         links = self._upstreams.list_engines(order.name)
--- a/packages/ryelatch-node/src/ryelatch_node/control/_keeper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_lease_manager.py
@@ -39,7 +39,7 @@
     since: float
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes, proves, renews and gives back leases."""
 
     def __init__(
--- a/packages/ryelatch-node/src/ryelatch_node/control/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/control/_service.py
@@ -12,7 +12,7 @@
 from ryelatch_core.pipeline import Holding, Move, plan_repair
 from ryelatch_core.settings import Model, Startup
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.control._keeper import LeaseKeeper
+from ryelatch_node.control._lease_manager import LeaseManager
 from ryelatch_node.peers import Peers
 from ryelatch_node.store import Store
 from ryelatch_node.upstreams import EngineLink, Upstreams
@@ -31,7 +31,7 @@
     idle fleet writes nothing to the store.
     """
 
-    def __init__(self, app: App, keeper: LeaseKeeper, name: str) -> None:
+    def __init__(self, app: App, keeper: LeaseManager, name: str) -> None:
         self._app = app
         self._keeper = keeper
         self._name = name
@@ -176,7 +176,7 @@
 def setup(app: App) -> None:
     """Add the service ``repair``."""
     name = app.find('startup', Startup).name
-    keeper = LeaseKeeper(
+    keeper = LeaseManager(
         app.find('store', Store),
         app.find('timeline', Timeline),
         app.clock,
--- a/packages/ryelatch-node/src/ryelatch_node/front/_admin.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_admin.py
@@ -12,7 +12,7 @@
 from ryelatch_core.settings import Startup
 from ryelatch_node.answers import Answers
 from ryelatch_node.config import SettingsHolder
-from ryelatch_node.front._caller import check_operator
+from ryelatch_node.front._authentication import check_operator
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import Endpoint
 from ryelatch_node.peers import Peers
--- a/packages/ryelatch-node/src/ryelatch_node/front/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_model.py
@@ -19,13 +19,13 @@
     Failure,
     Outcome,
 )
-from ryelatch_node.admission import Admission, Pass
-from ryelatch_node.answers import Answer, AnswerError, Answers, Order
+from ryelatch_node.admission import Admission, AdmissionSlot
+from ryelatch_node.answers import Answer, AnswerError, Answers, GenerationJob
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front import _body as bodies
 from ryelatch_node.front import _prompt as prompts
 from ryelatch_node.front import _reply as replies
-from ryelatch_node.front._caller import find_account
+from ryelatch_node.front._authentication import find_account
 from ryelatch_node.front._errors import CallerError
 from ryelatch_node.front._meter import Meter
 
@@ -48,9 +48,9 @@
     :param started: monotonic time before its admission, in seconds.
     """
 
-    order: Order
+    order: GenerationJob
     answer: Answer
-    granted: Pass
+    granted: AdmissionSlot
     started: float
 
 
@@ -279,7 +279,7 @@
 
 def _close_abandoned(app: App, running: _RunningRequest) -> None:
     """Stop generating for a client that has disconnected."""
-    if not running.answer.ended:
+    if not running.answer.finished:
         app.find('timeline', Timeline).record(
             catalogue.CALLER_GONE, request=running.order.request
         )
@@ -307,7 +307,7 @@
     )
 
 
-def _record_shed(app: App, order: Order, failure: Failure) -> None:
+def _record_shed(app: App, order: GenerationJob, failure: Failure) -> None:
     app.find('timeline', Timeline).record(
         catalogue.REQUEST_SHED, request=order.request, reason=failure.code
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_non_model.py
@@ -20,11 +20,11 @@
 from ryelatch_node.admission import Admission
 from ryelatch_node.config import SettingsHolder
 from ryelatch_node.front._body import read_body
-from ryelatch_node.front._caller import find_account
+from ryelatch_node.front._authentication import find_account
 from ryelatch_node.front._errors import CallerError, refuse
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import Endpoint
-from ryelatch_node.plain import (
+from ryelatch_node.non_model import (
     Answer,
     Call,
     Claim,
@@ -33,8 +33,8 @@
     Forwarder,
     RecordState,
 )
-from ryelatch_node.plain._claims import fingerprint_call, name_claim
-from ryelatch_node.plain._forward import clean_headers, may_repeat
+from ryelatch_node.non_model._claims import fingerprint_call, make_claim_key
+from ryelatch_node.non_model._forward import clean_headers, is_idempotent
 from ryelatch_node.upstreams import Upstreams
 
 _KEY_HEADER = 'idempotency-key'
@@ -171,7 +171,7 @@
     call = routed.call
     claims = app.find('claims', Claims)
     claimed = await claims.claim(
-        name_claim(routed.account.path, routed.prefix, key),
+        make_claim_key(routed.account.path, routed.prefix, key),
         fingerprint_call(call.method, call.path, call.body),
         routed.route.keep_answers,
         routed.service.timeout,
@@ -214,7 +214,7 @@
 
 
 async def _forward(app: App, routed: _RoutedRequest) -> Answer:
-    upstreams = app.find('upstreams', Upstreams).list_plain(routed.service.role)
+    upstreams = app.find('upstreams', Upstreams).list_service_vms(routed.service.role)
     app.random_source.shuffle(upstreams)
     forwarded = await app.find('forwarder', Forwarder).forward(
         routed.call, routed.service, upstreams
@@ -264,5 +264,5 @@
         f'{path}?{query}' if query else path,
         (*headers, (REQUEST_HEADER, request.state.request)),
         body,
-        may_repeat(route, request.method),
+        is_idempotent(route, request.method),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/front/_prompt.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_prompt.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ryelatch_core.settings import AccountEntry, Settings
-from ryelatch_node.answers import Order
+from ryelatch_node.answers import GenerationJob
 from ryelatch_node.front._errors import refuse
 
 _BAD_REQUEST = HTTPStatus.BAD_REQUEST
@@ -91,7 +91,7 @@
     request: str,
     prompt: Prompt,
     tokens: tuple[int, ...],
-) -> Order:
+) -> GenerationJob:
     """Check a request against the model and the client account's policy.
 
     :param tokens: the prompt.
@@ -120,7 +120,7 @@
             f'{model.context} with the answer.',
         )
     limit = min(requested or policy.max_tokens, policy.max_tokens, remaining)
-    return Order(
+    return GenerationJob(
         request,
         prompt.model,
         model,
--- a/packages/ryelatch-node/src/ryelatch_node/front/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/front/_service.py
@@ -23,9 +23,9 @@
 from ryelatch_node.front._errors import CallerError, respond_failure
 from ryelatch_node.front._meter import Meter
 from ryelatch_node.front._model import list_models, serve_model
-from ryelatch_node.front._plain import serve_non_model
+from ryelatch_node.front._non_model import serve_non_model
 from ryelatch_node.front._reply import CHAT, TEXT
-from ryelatch_node.plain import Forwarder
+from ryelatch_node.non_model import Forwarder
 from ryelatch_node.upstreams import Upstreams
 
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
--- a/packages/ryelatch-node/src/ryelatch_node/main.py
+++ b/packages/ryelatch-node/src/ryelatch_node/main.py
@@ -22,7 +22,7 @@
     control,
     front,
     peers,
-    plain,
+    non_model,
     store,
     upstreams,
 )
@@ -36,7 +36,7 @@
     admission.setup,
     peers.setup,
     control.setup,
-    plain.setup,
+    non_model.setup,
     front.setup,
 )
 
--- a/packages/ryelatch-node/src/ryelatch_node/plain/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/__init__.py
@@ -1,6 +1,6 @@
 """Plain services: calls that may be repeated, and calls that may not."""
 
-from ryelatch_node.plain._claims import (
+from ryelatch_node.non_model._claims import (
     Claim,
     ClaimError,
     Claims,
@@ -8,7 +8,7 @@
     RecordState,
     setup,
 )
-from ryelatch_node.plain._forward import Answer, Call, Forwarder
+from ryelatch_node.non_model._forward import Answer, Call, Forwarder
 
 __all__ = [
     'Answer',
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/_claims.py
@@ -157,7 +157,7 @@
             found = await self._store.get(key)
             if found.is_ok():
                 return found.unwrap()
-            if found.unwrap_err() is StoreError.OUT:
+            if found.unwrap_err() is StoreError.UNAVAILABLE:
                 return None
         return None
 
@@ -232,7 +232,7 @@
             written = await self._store.update(
                 claim.key, _encode(record), claim.version
             )
-            if written.is_ok() or written.unwrap_err() is not StoreError.OUT:
+            if written.is_ok() or written.unwrap_err() is not StoreError.UNAVAILABLE:
                 self._timeline.record(
                     catalogue.CLAIM_SETTLED, key=claim.key, state=record.state
                 )
@@ -286,7 +286,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def name_claim(account: str, route: str, key: str) -> str:
+def make_claim_key(account: str, route: str, key: str) -> str:
     """Give the store's key of an account's idempotency key on a route."""
     text = '\0'.join((account, route, key))
     return f'claims/{hashlib.sha256(text.encode()).hexdigest()}'
--- a/packages/ryelatch-node/src/ryelatch_node/plain/_forward.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/_forward.py
@@ -192,7 +192,7 @@
     )
 
 
-def may_repeat(route: Route, method: str) -> bool:
+def is_idempotent(route: Route, method: str) -> bool:
     """Tell whether a method may be sent again on a route."""
     return method in route.idempotent
 
--- a/packages/ryelatch-node/src/ryelatch_node/news/_introduction.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
@@ -9,32 +9,32 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     Greeting,
     GreetingReply,
     WholeQuestion,
     WholeReply,
     unpack,
 )
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    open_line,
+    connect_to_peer,
 )
-from ryelatch_node.news._memory import Heard
+from ryelatch_node.peer_sync._watch_cache import StoreUpdate
 
 WHOLE_SECONDS = 0.7
 """How long all objects of a kind may take; they may be two megabytes."""
 
 
 @dataclass(eq=False)
-class Introduction:
+class BootstrapClient:
     """The peer that greeted this node, and may be asked for all it knows.
 
     :param knows: whether this node has learned what it needs to serve.
     :param learn: takes the nodes that a peer has named.
-    :param greeted: set while there is such a peer.
+    :param peer_available: set while there is such a peer.
     """
 
     log: LineLog
@@ -42,7 +42,7 @@
     dial: Dial
     knows: Callable[[], bool]
     learn: Callable[[tuple[NodeEntry, ...]], None]
-    greeted: asyncio.Event = field(default_factory=asyncio.Event)
+    peer_available: asyncio.Event = field(default_factory=asyncio.Event)
     _greeter: NodeEntry | None = None
 
     def take(self, greeting: Greeting) -> GreetingReply:
@@ -55,10 +55,10 @@
             self.log.record(
                 catalogue.GREETING_TAKEN, peer=greeter.name, nodes=len(nodes)
             )
-            self.greeted.set()
+            self.peer_available.set()
         return GreetingReply(self.knows())
 
-    async def ask_whole(self, kind: str) -> Heard | None:
+    async def request_list(self, kind: str) -> StoreUpdate | None:
         """Ask the peer that greeted this node for all objects of a kind.
 
         :returns: nothing if none did, or it is of no use; another may greet.
@@ -71,7 +71,7 @@
             async with asyncio.timeout(CONNECT_SECONDS + WHOLE_SECONDS):
                 reply = await self._exchange(peer, WholeQuestion(kind))
             changes = unpack(reply.packed)
-        except FAILURES as error:
+        except REQUEST_ERRORS as error:
             # Timeouts are among them.
             self._leave(peer, kind, type(error).__name__)
             return None
@@ -81,14 +81,14 @@
         unanswered = (
             None if reply.unanswered is None else asked - reply.unanswered
         )
-        return Heard(reply.at, asked - reply.age, changes, unanswered)
+        return StoreUpdate(reply.at, asked - reply.age, changes, unanswered)
 
     async def _exchange(
         self,
         peer: NodeEntry,
         question: WholeQuestion,
     ) -> WholeReply:
-        line = await open_line(self.dial, peer.address)
+        line = await connect_to_peer(self.dial, peer.address)
         try:
             body = await line.ask(question)
         finally:
@@ -97,7 +97,7 @@
 
     def _leave(self, peer: NodeEntry, kind: str, reason: str) -> None:
         self._greeter = None
-        self.greeted.clear()
+        self.peer_available.clear()
         self.log.record(
             catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
         )
--- a/packages/ryelatch-node/src/ryelatch_node/news/_greeter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
@@ -15,13 +15,13 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import Greeting, GreetingReply
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._frames import Greeting, GreetingReply
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    Line,
-    open_line,
+    PeerConnection,
+    connect_to_peer,
 )
 
 GREET_SECONDS = 0.2
@@ -56,7 +56,7 @@
     knows: Callable[[], bool]
     is_out: Callable[[], bool]
     clock: Clock
-    _line: Line | None = None
+    _line: PeerConnection | None = None
     _looks_until: float = 0
 
     async def run(self) -> None:
@@ -95,22 +95,22 @@
                 await self._tell(
                     line, Greeting(self.me, tuple(self.list_nodes()))
                 )
-        except FAILURES:
+        except REQUEST_ERRORS:
             # Timeouts are among them. It may be down, and the next one isn't.
             self._drop()
             return False
         self.log.record(catalogue.NODE_GREETED, peer=peer.name)
         return True
 
-    async def _open(self, peer: NodeEntry) -> Line:
+    async def _open(self, peer: NodeEntry) -> PeerConnection:
         line = self._line
         if line is None or line.lost or line.address != peer.address:
             self._drop()
-            line = await open_line(self.dial, peer.address)
+            line = await connect_to_peer(self.dial, peer.address)
             self._line = line
         return line
 
-    async def _tell(self, line: Line, greeting: Greeting) -> bool:
+    async def _tell(self, line: PeerConnection, greeting: Greeting) -> bool:
         """Tell a node who greets.
 
         :returns: whether it knows what it needs.
--- a/packages/ryelatch-node/src/ryelatch_node/news/_line.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_connection.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryelatch_node.news._frames import encode, read_body
+from ryelatch_node.peer_sync._frames import encode, read_body
 
 CONNECT_SECONDS = 0.3
 """Longest wait for a connection to a peer; in a region it takes 2 ms."""
@@ -18,12 +18,12 @@
 ]
 """Opens a connection to a host and port."""
 
-FAILURES = (OSError, EOFError, ValueError, msgspec.MsgspecError)
+REQUEST_ERRORS = (OSError, EOFError, ValueError, msgspec.MsgspecError)
 """What may become of a question; timeouts are among them."""
 
 
 @dataclass(eq=False)
-class Line:
+class PeerConnection:
     """An open connection.
 
     :param address: ``host:port`` of the peer.
@@ -55,7 +55,7 @@
         self.writer.transport.abort()
 
 
-async def open_line(dial: Dial, address: str) -> Line:
+async def connect_to_peer(dial: Dial, address: str) -> PeerConnection:
     """Connect to a peer.
 
     :raises OSError: if it can't be reached in time.
@@ -63,4 +63,4 @@
     host, _, port = address.rpartition(':')
     async with asyncio.timeout(CONNECT_SECONDS):
         reader, writer = await dial(host, int(port))
-    return Line(address, reader, writer)
+    return PeerConnection(address, reader, writer)
--- a/packages/ryelatch-node/src/ryelatch_node/news/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_frames.py
@@ -54,7 +54,7 @@
     whole: bool = False
 
 
-class PermitQuestion(
+class PermitRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='permit'
 ):
     """A question for leave to send a request to a replica.
--- a/packages/ryelatch-node/src/ryelatch_node/news/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -11,10 +11,10 @@
 from ryelatch_core.events import UsageTracker
 from ryelatch_core.kernel import Clock, cancel_task
 from ryelatch_core.membership import NEVER
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     Greeting,
     GreetingReply,
-    PermitQuestion,
+    PermitRequest,
     PermitReply,
     Question,
     Reply,
@@ -23,22 +23,22 @@
     encode,
     read_body,
 )
-from ryelatch_node.news._line import FAILURES
-from ryelatch_node.news._memory import (
+from ryelatch_node.peer_sync._connection import REQUEST_ERRORS
+from ryelatch_node.peer_sync._watch_cache import (
     NEVER_SECONDS,
-    NO_TROUBLE,
+    STORE_HEALTHY,
     Memory,
-    StoreTrouble,
+    StoreHealth,
 )
-from ryelatch_node.news._rests import REST_SECONDS
+from ryelatch_node.peer_sync._cooldowns import REST_SECONDS
 
-_AnyQuestion: TypeAlias = Question | PermitQuestion | Greeting | WholeQuestion
+_AnyQuestion: TypeAlias = Question | PermitRequest | Greeting | WholeQuestion
 
 LONGEST_WAIT = 30.0
 """Longest wait that a peer may ask for."""
 
 
-def _deny(question: PermitQuestion) -> PermitReply:
+def _deny(question: PermitRequest) -> PermitReply:
     return PermitReply(False, REST_SECONDS, question.limit, question.age)
 
 
@@ -51,8 +51,8 @@
     """Tells peers what this node knows, and whether they may send.
 
     :param memories: what it has heard of the store, by kind.
-    :param find_trouble: tells how the store answers this node.
-    :param answer_permit: tells a peer whether it may send to a replica.
+    :param find_store_health: tells how the store answers this node.
+    :param handle_permit_request: tells a peer whether it may send to a replica.
     :param take_greeting: learns from a peer which nodes there are.
     :param asked: when it was asked to watch last, in monotonic seconds.
     """
@@ -60,8 +60,8 @@
     clock: Clock
     costs: UsageTracker
     memories: dict[str, Memory]
-    find_trouble: Callable[[], StoreTrouble] = lambda: NO_TROUBLE
-    answer_permit: Callable[[PermitQuestion], PermitReply] = _deny
+    find_store_health: Callable[[], StoreHealth] = lambda: STORE_HEALTHY
+    handle_permit_request: Callable[[PermitRequest], PermitReply] = _deny
     take_greeting: Callable[[Greeting], GreetingReply] = _know
     asked: float = NEVER
     _served: set['asyncio.Task[None]'] = field(default_factory=set)
@@ -78,7 +78,7 @@
         try:
             while True:
                 await self._answer_one(reader, writer)
-        except FAILURES:
+        except REQUEST_ERRORS:
             # The peer has gone, or is none; it asks anew, or the store.
             return
         except asyncio.CancelledError:
@@ -103,8 +103,8 @@
         body = await read_body(reader)
         question = msgspec.msgpack.decode(body, type=_AnyQuestion)
         match question:
-            case PermitQuestion():
-                frame = encode(self.answer_permit(question))
+            case PermitRequest():
+                frame = encode(self.handle_permit_request(question))
             case Greeting():
                 frame = encode(self.take_greeting(question))
             case WholeQuestion():
@@ -120,7 +120,7 @@
             return WholeReply(known=False)
         now = self.clock.monotonic()
         reply = memory.tell_whole(now)
-        unanswered = self.find_trouble().unanswered
+        unanswered = self.find_store_health().unanswered
         if unanswered > NEVER:
             reply = msgspec.structs.replace(reply, unanswered=now - unanswered)
         return reply
@@ -131,10 +131,10 @@
             self.asked = asked
         reply = await self._tell(question, asked)
         now = self.clock.monotonic()
-        trouble = self.find_trouble()
-        if trouble.unanswered > NEVER:
+        health = self.find_store_health()
+        if health.unanswered > NEVER:
             reply = msgspec.structs.replace(
-                reply, unanswered=now - trouble.unanswered, out=trouble.out
+                reply, unanswered=now - health.unanswered, out=health.out
             )
         frame = encode(reply)
         if question.kind in self.memories:
--- a/packages/ryelatch-node/src/ryelatch_node/news/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -15,28 +15,28 @@
     shares_watches,
     watches_for_others,
 )
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     Change,
     Question,
     Reply,
     unpack,
 )
-from ryelatch_node.news._greeter import Greeter
-from ryelatch_node.news._introduction import Introduction
-from ryelatch_node.news._line import (
+from ryelatch_node.peer_sync._bootstrapper import Greeter
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
+from ryelatch_node.peer_sync._connection import (
     CONNECT_SECONDS,
-    FAILURES,
+    REQUEST_ERRORS,
     Dial,
-    Line,
-    open_line,
+    PeerConnection,
+    connect_to_peer,
 )
-from ryelatch_node.news._memory import (
-    Blind,
-    Heard,
+from ryelatch_node.peer_sync._watch_cache import (
+    PeerCutOff,
+    StoreUpdate,
     Memory,
 )
-from ryelatch_node.news._rests import REST_SECONDS, RestBook
-from ryelatch_node.news._server import PeerServer
+from ryelatch_node.peer_sync._cooldowns import REST_SECONDS, RestBook
+from ryelatch_node.peer_sync._server import PeerServer
 from ryelatch_node.ports import Address, RelayStartup
 
 REPLY_SECONDS = 0.4
@@ -48,7 +48,7 @@
 
 
 @dataclass(eq=False)
-class News:
+class PeerSync:
     """What this node and its peers know of the store's objects.
 
     A peer's word is as good as the store's: each reply tells how long ago
@@ -57,9 +57,9 @@
     is left, and the store asked as if there were no peers.
 
     :param server: answers those who ask this node.
-    :param wanted: kinds of object without which this node serves nothing.
-    :param tell_count: told how many nodes a peer has named.
-    :param introduction: what a peer tells at a start while the store is out.
+    :param required_kinds: kinds of object without which this node serves nothing.
+    :param announce_count: told how many nodes a peer has named.
+    :param bootstrap_client: what a peer tells at a start while the store is out.
     """
 
     log: LineLog
@@ -69,24 +69,24 @@
     costs: UsageTracker = field(default_factory=UsageTracker)
     address: Address = field(init=False)
     server: PeerServer = field(init=False)
-    wanted: frozenset[str] = frozenset()
-    tell_count: Callable[[int], None] = _ignore_count
-    introduction: Introduction = field(init=False)
+    required_kinds: frozenset[str] = frozenset()
+    announce_count: Callable[[int], None] = _ignore_count
+    bootstrap_client: BootstrapClient = field(init=False)
     _memories: dict[str, Memory] = field(
         default_factory=lambda: defaultdict(Memory)
     )
     _nodes: tuple[NodeEntry, ...] = ()
-    _lines: dict[str, Line] = field(default_factory=dict)
+    _lines: dict[str, PeerConnection] = field(default_factory=dict)
     _listener: asyncio.Server | None = None
     _greeting: 'asyncio.Task[None] | None' = None
 
     def __post_init__(self) -> None:
         """Make what answers, and what remembers who was left."""
         self.server = PeerServer(self.clock, self.costs, self._memories)
-        self.introduction = Introduction(
+        self.bootstrap_client = BootstrapClient(
             self.log, self.clock, self.dial, lambda: self._knows, self._learn
         )
-        self.server.take_greeting = self.introduction.take
+        self.server.take_greeting = self.bootstrap_client.take
         self._rests = RestBook(self.clock)
 
     async def start(self) -> None:
@@ -97,9 +97,9 @@
         )
         bound = self._listener.sockets[0].getsockname()
         self.address = Address(host, bound[1])
-        self.start_greeting()
+        self.start_bootstrapper()
 
-    def start_greeting(self) -> None:
+    def start_bootstrapper(self) -> None:
         """Begin to greet nodes that start while the store is out."""
         greeter = Greeter(
             self.log,
@@ -107,7 +107,7 @@
             self.dial,
             lambda: self._nodes,
             lambda: self._knows,
-            lambda: self.server.find_trouble().out,
+            lambda: self.server.find_store_health().out,
             self.clock,
         )
         self._greeting = asyncio.create_task(
@@ -123,55 +123,55 @@
             self._drop(kind)
         await self.server.stop()
 
-    def know(self, nodes: Iterable[NodeEntry]) -> None:
+    def update_nodes(self, nodes: Iterable[NodeEntry]) -> None:
         """Take note of which nodes there are."""
         self._nodes = tuple(nodes)
 
-    def restart(
+    def reset(
         self,
         kind: str,
-        heard: Heard,
+        heard: StoreUpdate,
         objects: Mapping[str, bytes],
     ) -> None:
         """Take a whole list, from the store or from a peer.
 
         :param objects: what is kept for those who can't list, by name.
         """
-        self._memories[kind].restart(heard, objects)
+        self._memories[kind].reset(heard, objects)
 
-    def keep(self, kind: str, name: str, change: Change) -> None:
+    def apply_change(self, kind: str, name: str, change: Change) -> None:
         """Keep a changed object for those who can't list."""
         if change.deleted:
             self._memories[kind].forget(name)
         else:
-            self._memories[kind].keep(name, change.content)
+            self._memories[kind].apply_change(name, change.content)
 
-    def note(self, kind: str, heard: Heard) -> None:
+    def record(self, kind: str, heard: StoreUpdate) -> None:
         """Take an answer to a watch, from whomever."""
-        self._memories[kind].note(heard)
+        self._memories[kind].record(heard)
 
-    async def ask(
+    async def request_changes(
         self,
         kind: str,
         since: int,
         wait: float,
         *,
-        oldest: float,
-        alone: bool,
-    ) -> Heard | Blind | None:
+        max_age: float,
+        cut_off: bool,
+    ) -> StoreUpdate | PeerCutOff | None:
         """Ask a peer for what has changed.
 
-        :param oldest: seconds since a peer heard of the store itself, beyond
+        :param max_age: seconds since a peer heard of the store itself, beyond
             which its word is no use.
-        :param alone: whether the store does not answer this node; one that
+        :param cut_off: whether the store does not answer this node; one that
             watches for others then asks them too.
         :returns: nothing if the peer is of no use.
         """
-        peer = self._choose(alone=alone)
+        peer = self._choose(cut_off=cut_off)
         if peer is None:
             return None
         sent = self.clock.monotonic()
-        question = Question(kind, since, wait, alone)
+        question = Question(kind, since, wait, cut_off)
         try:
             async with asyncio.timeout(wait + CONNECT_SECONDS + REPLY_SECONDS):
                 reply = await self._exchange(kind, peer, question)
@@ -180,7 +180,7 @@
             # Its reply is still to come, and would answer the next question.
             self._drop(kind)
             raise
-        except FAILURES as error:
+        except REQUEST_ERRORS as error:
             # Timeouts are among them: a peer whose connections went silent.
             self._leave(kind, peer, type(error).__name__)
             return None
@@ -188,15 +188,15 @@
         unanswered = (
             None if reply.unanswered is None else told - reply.unanswered
         )
-        if reply.age <= oldest:
+        if reply.age <= max_age:
             if not reply.covered:
                 return None
-            return Heard(
+            return StoreUpdate(
                 reply.at, told - reply.age, changes, unanswered, reply.out
             )
         reason = 'blind' if reply.out else 'behind'
         self._leave(kind, peer, reason, answered=True)
-        return None if unanswered is None else Blind(unanswered)
+        return None if unanswered is None else PeerCutOff(unanswered)
 
     @property
     def nodes(self) -> tuple[NodeEntry, ...]:
@@ -204,7 +204,7 @@
         return self._nodes
 
     @property
-    def shares(self) -> bool:
+    def has_watchers(self) -> bool:
         """Whether some nodes of this fleet watch for others."""
         return shares_watches(self._nodes)
 
@@ -225,21 +225,21 @@
     @property
     def _knows(self) -> bool:
         """Whether this node has learned what it needs to serve."""
-        return self.wanted <= self._memories.keys()
+        return self.required_kinds <= self._memories.keys()
 
     def _learn(self, nodes: tuple[NodeEntry, ...]) -> None:
         """Learn from a peer which nodes there are, if this one can't."""
         if not self._nodes:
-            self.know(nodes)
-            self.tell_count(len(nodes))
+            self.update_nodes(nodes)
+            self.announce_count(len(nodes))
 
-    def _choose(self, *, alone: bool) -> NodeEntry | None:
+    def _choose(self, *, cut_off: bool) -> NodeEntry | None:
         """Choose the peer to ask; none if this node asks the store."""
-        if not alone and (not self.shares or self.watches_for_others):
+        if not cut_off and (not self.has_watchers or self.watches_for_others):
             return None
         me, zone = self.startup.name, self.startup.zone
         offered = choose_watchers(me, zone, self._nodes)
-        waits = self.shares and self.server.find_trouble().out
+        waits = self.has_watchers and self.server.find_store_health().out
         return next(
             (
                 one
@@ -258,7 +258,7 @@
         line = self._lines.get(kind)
         if line is None or line.address != peer.address:
             self._drop(kind)
-            line = await open_line(self.dial, peer.address)
+            line = await connect_to_peer(self.dial, peer.address)
             self._lines[kind] = line
         self.costs.count('peers', kind, 'questions')
         return msgspec.msgpack.decode(await line.ask(question), type=Reply)
@@ -272,7 +272,7 @@
         answered: bool = False,
     ) -> None:
         self._drop(kind)
-        self._rests.note(peer.name, answered=answered)
+        self._rests.record(peer.name, answered=answered)
         self.log.record(
             catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
         )
@@ -284,11 +284,11 @@
 
 
 def setup(app: App) -> None:
-    """Add the service ``news``."""
-    news = News(
+    """Add the service ``peer_sync``."""
+    peer_sync = PeerSync(
         app.find('log', LineLog),
         app.clock,
         app.find('startup', RelayStartup),
         costs=app.find('costs', UsageTracker),
     )
-    app.add(Service('news', news, start=news.start, stop=news.stop))
+    app.add(Service('news', peer_sync, start=peer_sync.start, stop=peer_sync.stop))
--- a/packages/ryelatch-node/src/ryelatch_node/news/_memory.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.membership import NEVER
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     MOST_BYTES,
     Change,
     Reply,
@@ -37,25 +37,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class StoreUpdate:
     """An answer of the store, or of a peer.
 
     :param at: revision of the store up to which changes are known.
-    :param known: monotonic seconds at which nothing else had changed.
+    :param confirmed_at: monotonic seconds at which nothing else had changed.
     :param unanswered: monotonic seconds at which the peer's last call was
         sent that the store left unanswered; nothing if there was none.
     :param out: whether the store is out for that peer.
     """
 
     at: int
-    known: float
+    confirmed_at: float
     changes: tuple[Change, ...] = ()
     unanswered: float | None = None
     out: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class StoreTrouble:
+class StoreHealth:
     """How the store answers a node.
 
     :param unanswered: when the last call was sent that it left unanswered, in
@@ -67,12 +67,12 @@
     out: bool = False
 
 
-NO_TROUBLE = StoreTrouble()
+STORE_HEALTHY = StoreHealth()
 """No call was left unanswered yet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Blind:
+class PeerCutOff:
     """The word of a peer of no use that the store has not answered it.
 
     :param unanswered: monotonic seconds at which its last call was sent that
@@ -93,18 +93,18 @@
     at: int = -1
     known: float = float('-inf')
     _objects: dict[str, bytes] = field(default_factory=dict)
-    _steps: deque[Heard] = field(default_factory=deque)
+    _steps: deque[StoreUpdate] = field(default_factory=deque)
     _packed: dict[int, bytes] = field(default_factory=dict)
     _heard: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def restart(self, heard: Heard, objects: Mapping[str, bytes]) -> None:
+    def restart(self, heard: StoreUpdate, objects: Mapping[str, bytes]) -> None:
         """Take a whole list: what was before can't be told any more."""
         self._steps.clear()
         self._objects = dict(objects)
         self.start = heard.at
         self._advance(heard)
 
-    def note(self, heard: Heard) -> None:
+    def note(self, heard: StoreUpdate) -> None:
         """Take an answer that goes on from where this node was."""
         if heard.changes:
             self._steps.append(heard)
@@ -185,13 +185,13 @@
         """Whether all changes since a revision are kept."""
         return self.start >= 0 and self.start <= since <= self.at
 
-    def _list_steps(self, since: int) -> list[Heard]:
+    def _list_steps(self, since: int) -> list[StoreUpdate]:
         return [step for step in self._steps if step.at > since]
 
-    def _advance(self, heard: Heard) -> None:
+    def _advance(self, heard: StoreUpdate) -> None:
         if heard.at != self.at or heard.changes:
             self._packed.clear()
         self.at = heard.at
-        self.known = max(self.known, heard.known)
+        self.known = max(self.known, heard.confirmed_at)
         self._heard.set()
         self._heard = asyncio.Event()
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_commands.py
@@ -7,9 +7,9 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.fleet import LayerRange, Move, Replica
 from ryelatch_core.kernel import Clock
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty._lease import LeaseKeeper
-from ryelatch_node.ports import OrderResult, Orders
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.placement._lease import LeaseManager
+from ryelatch_node.ports import CommandResult, ReplicaCommands
 
 LOAD_MARGIN_SECONDS = 2.0
 """How much longer than reckoned a load may take before it is given up.
@@ -50,8 +50,8 @@
     clock: Clock
     configuration: ConfigurationView
     replicas: ReplicaView
-    orders: Orders
-    lease: LeaseKeeper
+    commands: ReplicaCommands
+    lease: LeaseManager
     _pending: dict[str, _Pending] = field(default_factory=dict)
     _sequences: dict[str, int] = field(default_factory=dict)
 
@@ -94,38 +94,38 @@
             return replica
         return replace(replica, layers=pending.layers)
 
-    async def give(self, move: Move) -> OrderResult:
+    async def give(self, move: Move) -> CommandResult:
         """Order a replica to hold layers, and note what became of it."""
         replica = move.replica
         result = await self._send(move)
         # Most often another node has given orders to this replica.
-        conflict = result is OrderResult.CONFLICT
+        conflict = result is CommandResult.CONFLICT
         if conflict and await self._learn_state(replica):
             result = await self._send(move)
         self._settle(move, result, self.clock.monotonic())
         return result
 
     async def _review_one(self, replica: Replica) -> None:
-        report = await self.orders.read_report(replica)
+        report = await self.commands.read_report(replica)
         pending = self._pending.get(replica.name)
         if pending is not None and report is not None and report.busy:
             until = self.clock.monotonic() + BUSY_SECONDS
             self._pending[replica.name] = replace(pending, until=until)
 
-    def _settle(self, move: Move, result: OrderResult, now: float) -> None:
+    def _settle(self, move: Move, result: CommandResult, now: float) -> None:
         """Act on what became of an order."""
         replica = move.replica
-        steps: dict[OrderResult, Callable[[], None]] = {
-            OrderResult.BEGUN: lambda: self._expect(move, now),
-            OrderResult.HELD: lambda: self._expect(move, now),
-            OrderResult.UNANSWERED: lambda: self._await_late(move, now),
+        steps: dict[CommandResult, Callable[[], None]] = {
+            CommandResult.BEGUN: lambda: self._expect(move, now),
+            CommandResult.HELD: lambda: self._expect(move, now),
+            CommandResult.UNANSWERED: lambda: self._await_late(move, now),
             # Going on would be refused again and again; the lease is followed
             # from the store.
-            OrderResult.FENCED: self.lease.give_up,
-            OrderResult.CONFLICT: lambda: self._leave_alone(
+            CommandResult.FENCED: self.lease.give_up,
+            CommandResult.CONFLICT: lambda: self._leave_alone(
                 replica, now + BUSY_SECONDS
             ),
-            OrderResult.MISSING: lambda: self.replicas.end(replica),
+            CommandResult.MISSING: lambda: self.replicas.end(replica),
         }
         steps.get(
             result,
@@ -147,19 +147,19 @@
                 replica.layers, until, busy=True
             )
 
-    async def _send(self, move: Move) -> OrderResult:
+    async def _send(self, move: Move) -> CommandResult:
         fence = self.lease.fence
         if fence is None:
             # Another node took the lease since this one renewed it. Its
             # number is the higher one, and not this node's to use.
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         name = move.replica.name
         sequence = self._sequences.get(name, 0)
-        result = await self.orders.place(
+        result = await self.commands.place(
             move.replica, move.layers, fence, sequence
         )
         self._log_order(move, result, fence, sequence)
-        if result is OrderResult.BEGUN:
+        if result is CommandResult.BEGUN:
             self._sequences[name] = sequence + 1
         return result
 
@@ -175,7 +175,7 @@
 
     async def _learn_state(self, replica: Replica) -> bool:
         """Learn a replica's sequence; tell whether it may be ordered now."""
-        report = await self.orders.read_report(replica)
+        report = await self.commands.read_report(replica)
         if report is None:
             return False
         self._sequences[replica.name] = report.sequence
@@ -184,14 +184,14 @@
     def _log_order(
         self,
         move: Move,
-        result: OrderResult,
+        result: CommandResult,
         fence: int,
         sequence: int,
     ) -> None:
         kind = catalogue.ORDER_REFUSED
-        if result in {OrderResult.BEGUN, OrderResult.HELD}:
+        if result in {CommandResult.BEGUN, CommandResult.HELD}:
             kind = catalogue.ORDER_SENT
-        elif result is OrderResult.UNANSWERED:
+        elif result is CommandResult.UNANSWERED:
             kind = catalogue.ORDER_UNANSWERED
         self.log.record(
             kind,
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_lease.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_lease.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(eq=False)
-class LeaseKeeper:
+class LeaseManager:
     """The lease as this node knows it.
 
     :param spread: seconds by which this node is more patient than others,
@@ -89,7 +89,7 @@
             return None
         return lease.fence
 
-    def follow(self, record: LeaseRecord) -> None:
+    def apply_record(self, record: LeaseRecord) -> None:
         """Take note of the lease as the store has it now."""
         if self._record is None or record.revision > self._record.revision:
             if self._record is not None:
--- a/packages/ryelatch-node/src/ryelatch_node/duty/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
@@ -14,19 +14,19 @@
     plan_moves,
 )
 from ryelatch_core.kernel import App, Clock, Service, cancel_task
-from ryelatch_node.beliefs import (
+from ryelatch_node.views import (
     ConfigurationView,
     ReplicasChanged,
     ReplicaView,
 )
-from ryelatch_node.duty._lease import TAKE_SPREAD_SECONDS, LeaseKeeper
-from ryelatch_node.duty._orders import OrderBook
-from ryelatch_node.duty._timing import PlanTiming
+from ryelatch_node.placement._lease import TAKE_SPREAD_SECONDS, LeaseManager
+from ryelatch_node.placement._commands import OrderBook
+from ryelatch_node.placement._timing import PlanTiming
 from ryelatch_node.ports import (
     LeaseStore,
-    NodesCounted,
-    OrderResult,
-    Orders,
+    NodeCountChanged,
+    CommandResult,
+    ReplicaCommands,
     RelayStartup,
 )
 
@@ -77,15 +77,15 @@
 
 
 @dataclass(eq=False)
-class PlacementDuty:
+class PlacementController:
     """Plans, and orders what the plan says if this node holds the lease."""
 
     log: LineLog
     clock: Clock
     configuration: ConfigurationView
     replicas: ReplicaView
-    orders: Orders
-    lease: LeaseKeeper
+    commands: ReplicaCommands
+    lease: LeaseManager
     costs: UsageTracker = field(default_factory=UsageTracker)
     _planned: _State | None = None
     _seen: tuple[_Pools, bool] | None = None
@@ -101,7 +101,7 @@
             self.clock,
             self.configuration,
             self.replicas,
-            self.orders,
+            self.commands,
             self.lease,
         )
 
@@ -119,7 +119,7 @@
         """Look again, as something has changed."""
         self._wake.set()
 
-    def share_among(self, counted: NodesCounted) -> None:
+    def share_among(self, counted: NodeCountChanged) -> None:
         """Be as patient as the number of nodes demands."""
         self.lease.nodes = counted.nodes
 
@@ -193,7 +193,7 @@
     def _list_alive(self, service: str, now: float) -> list[Replica]:
         return [
             self._book.foresee(replica, now)
-            for replica in self.replicas.list_alive(service)
+            for replica in self.replicas.list_reachable(service)
         ]
 
     def _date_need(self, state: _State) -> float:
@@ -240,7 +240,7 @@
 
     async def _give(self, moves: list[Move]) -> None:
         results = await asyncio.gather(*map(self._book.give, moves))
-        if OrderResult.FENCED in results:
+        if CommandResult.FENCED in results:
             # Another node orders under a higher number; its turn counts anew.
             self._timing.need_since = self.clock.monotonic()
 
@@ -249,14 +249,14 @@
     """Add the service ``placement``."""
     startup = app.find('startup', RelayStartup)
     log = app.find('log', LineLog)
-    duty = PlacementDuty(
+    duty = PlacementController(
         log=log,
         clock=app.clock,
         configuration=app.find('configuration', ConfigurationView),
         replicas=app.find('replicas', ReplicaView),
-        orders=app.find('orders', Orders),
+        commands=app.find('orders', ReplicaCommands),
         costs=app.find('costs', UsageTracker),
-        lease=LeaseKeeper(
+        lease=LeaseManager(
             log=log,
             clock=app.clock,
             store=app.find('leases', LeaseStore),
@@ -265,7 +265,7 @@
         ),
     )
     app.hub.connect(ReplicasChanged, duty.wake)
-    app.hub.connect(NodesCounted, duty.share_among)
+    app.hub.connect(NodeCountChanged, duty.share_among)
     app.add(
         Service(
             'placement',
--- a/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/__init__.py
@@ -1,49 +1,49 @@
 """What a relaying node asks of the platform that it runs on."""
 
 from ryelatch_node.ports._leases import LeaseRecord, LeaseStore
-from ryelatch_node.ports._orders import (
-    Holding,
-    MoveAnswer,
-    OrderResult,
-    Orders,
-    Reach,
+from ryelatch_node.ports._commands import (
+    LoadedLayers,
+    MoveResult,
+    CommandResult,
+    ReplicaCommands,
+    Reachability,
     Report,
 )
-from ryelatch_node.ports._quarantine import QuarantineStore, StepResult
+from ryelatch_node.ports._quarantine import QuarantineStore, StoreWriteResult
 from ryelatch_node.ports._startup import (
     Address,
-    NodesCounted,
+    NodeCountChanged,
     RelayStartup,
     SettingsChanged,
-    keep_fixed,
+    apply_reloadable,
 )
 from ryelatch_node.ports._wire import (
-    AnswerTerms,
+    AnswerMetadata,
     Dispatch,
     Headers,
-    RequestTerms,
-    Wire,
+    RequestMetadata,
+    HeaderCodec,
 )
 
 __all__ = [
     'Address',
-    'AnswerTerms',
+    'AnswerMetadata',
     'Dispatch',
     'Headers',
-    'Holding',
+    'LoadedLayers',
     'LeaseRecord',
     'LeaseStore',
-    'MoveAnswer',
-    'NodesCounted',
-    'OrderResult',
-    'Orders',
+    'MoveResult',
+    'NodeCountChanged',
+    'CommandResult',
+    'ReplicaCommands',
     'QuarantineStore',
-    'Reach',
+    'Reachability',
     'RelayStartup',
     'Report',
-    'RequestTerms',
+    'RequestMetadata',
     'SettingsChanged',
-    'StepResult',
-    'Wire',
-    'keep_fixed',
+    'StoreWriteResult',
+    'HeaderCodec',
+    'apply_reloadable',
 ]
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_orders.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_commands.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 
 
-class OrderResult(enum.Enum):
+class CommandResult(enum.Enum):
     """What became of an order."""
 
     BEGUN = 'begun'
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class LoadedLayers:
     """What an engine says that it holds.
 
-    :param born: when this life of it began, in milliseconds; 0 if not said.
+    :param started_at: when this life of it began, in milliseconds; 0 if not said.
     """
 
     layers: LayerRange | None
-    born: int = 0
+    started_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,8 +48,8 @@
     :param used: share of its request memory that is taken.
     :param stalled: addresses of replicas that its requests wait for, by the
         identity of the request.
-    :param holding: nothing if it does not say what it holds.
-    :param pace: factor by which its passes take longer than those of its
+    :param loaded: nothing if it does not say what it holds.
+    :param step_factor: factor by which its passes take longer than those of its
         kind of accelerator.
     """
 
@@ -57,22 +57,22 @@
     busy: bool
     used: float
     stalled: dict[str, str]
-    holding: Holding | None = None
-    pace: float = 1
+    loaded: LoadedLayers | None = None
+    step_factor: float = 1
 
 
 @dataclass(frozen=True, slots=True)
-class MoveAnswer:
+class MoveResult:
     """What became of an order to move a request.
 
     :param fault: address of the replica that a refusal names, if any.
     """
 
-    result: OrderResult
+    result: CommandResult
     fault: str = ''
 
 
-class Reach(enum.Enum):
+class Reachability(enum.Enum):
     """Whether something listens at a replica's address."""
 
     LISTENS = 'listens'
@@ -84,16 +84,16 @@
 
 
 @dataclass(frozen=True)
-class Orders:
+class ReplicaCommands:
     """Calls to engines."""
 
-    place: Callable[[Replica, LayerRange, int, int], Awaitable[OrderResult]]
+    place: Callable[[Replica, LayerRange, int, int], Awaitable[CommandResult]]
     """Replica, layers, fencing number, expected sequence."""
 
-    move: Callable[[Replica, str, tuple[Stage, ...]], Awaitable[MoveAnswer]]
+    move: Callable[[Replica, str, tuple[Stage, ...]], Awaitable[MoveResult]]
     """First replica, identity of the request, its new path."""
 
     read_report: Callable[[Replica], Awaitable[Report | None]]
 
-    reach: Callable[[Replica], Awaitable[Reach]]
+    reach: Callable[[Replica], Awaitable[Reachability]]
     """Opens a connection and closes it; nothing is asked."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_quarantine.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StepResult:
+class StoreWriteResult:
     """What became of a write.
 
     :param answered: whether the store answered; else it may have taken
@@ -27,5 +27,5 @@
     Whoever follows the store tells of each change, this node's included.
     """
 
-    carry_out: Callable[[StoreWrite], Awaitable[StepResult]]
+    apply_write: Callable[[StoreWrite], Awaitable[StoreWriteResult]]
     """Make the store hold, or delete, what the step says."""
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_startup.py
@@ -72,13 +72,13 @@
 
 
 @dataclass(frozen=True)
-class NodesCounted:
+class NodeCountChanged:
     """How many nodes there are, as far as they have entered themselves."""
 
     nodes: int
 
 
-def keep_fixed(
+def apply_reloadable(
     old: RelayStartup,
     new: RelayStartup,
 ) -> tuple[RelayStartup, tuple[str, ...]]:
--- a/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
+++ b/packages/ryelatch-node/src/ryelatch_node/ports/_wire.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTerms:
+class RequestMetadata:
     """What a client says of its request.
 
     :param identity: of this attempt of the client.
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerTerms:
+class AnswerMetadata:
     """What an upstream says of its answer.
 
     :param identity: of the request that it answers; empty if not said.
@@ -79,9 +79,9 @@
 
 
 @dataclass(frozen=True)
-class Wire:
+class HeaderCodec:
     """Functions between headers and terms."""
 
-    read_request: Callable[[Headers], RequestTerms]
+    read_request: Callable[[Headers], RequestMetadata]
     write_request: Callable[[Headers, Dispatch], list[tuple[str, str]]]
-    read_answer: Callable[[int, Headers], AnswerTerms]
+    read_answer: Callable[[int, Headers], AnswerMetadata]
--- a/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/quarantine/_service.py
@@ -156,7 +156,7 @@
 
     async def _carry_out(self, steps: list[StoreWrite]) -> bool:
         for step in steps:
-            found = await self.store.carry_out(step)
+            found = await self.store.apply_write(step)
             if not found.answered:
                 return False
             if found.stored is None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -6,9 +6,9 @@
 
 from ryelatch_core.quarantine import digest_request
 from ryelatch_core.routing import Route, RoutingTable, choose_service
-from ryelatch_node.ports import RequestTerms
+from ryelatch_node.ports import RequestMetadata
 from ryelatch_node.relay._exchange import AdmittedRequest
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 MAX_DENIAL_AGE_SECONDS = 2.9
 """Age of the configuration up to which requests are answered 401 or 404.
@@ -81,7 +81,7 @@
     """
 
     scope: Scope
-    terms: RequestTerms
+    terms: RequestMetadata
     body: bytes
     received_at: float
 
@@ -147,7 +147,7 @@
     context: RelayContext,
     table: RoutingTable,
     route: Route,
-    terms: RequestTerms,
+    terms: RequestMetadata,
 ) -> str | Refusal:
     """Find the name of the request's client account by its key.
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -11,7 +11,7 @@
     rank_first_replicas,
 )
 from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._progress import Progress
 from ryelatch_node.relay._query import make_path_query
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_parts.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_context.py
@@ -14,10 +14,10 @@
 )
 from ryelatch_core.kernel import Clock
 from ryelatch_core.retries import RetryBudget
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.ports import Orders, RelayStartup, Wire
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.ports import ReplicaCommands, RelayStartup, HeaderCodec
 from ryelatch_node.quarantine import Quarantine
-from ryelatch_node.relay._reach import CrashChecks
+from ryelatch_node.relay._crash_checks import CrashChecks
 from ryelatch_node.relay._slow_replicas import SlowReplicaChecks
 from ryelatch_node.relay._upstream import Upstreams
 from ryelatch_node.throttle import Throttle
@@ -38,8 +38,8 @@
     configuration: ConfigurationView
     replicas: ReplicaView
     upstreams: Upstreams
-    wire: Wire
-    orders: Orders
+    wire: HeaderCodec
+    commands: ReplicaCommands
     budget: RetryBudget
     quarantine: Quarantine
     throttle: Throttle
@@ -56,9 +56,9 @@
 
     def __post_init__(self) -> None:
         """Create the members that depend on others."""
-        self.crash_checks = CrashChecks(self.orders)
+        self.crash_checks = CrashChecks(self.commands)
         self.slow_replicas = SlowReplicaChecks(
-            self.log, self.clock, self.orders, self.throttle.is_throttled
+            self.log, self.clock, self.commands, self.throttle.is_throttled
         )
         self.windows = ConcurrencyWindows(self.draw)
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_reach.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_crash_checks.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import Replica
-from ryelatch_node.ports import Orders, Reach
+from ryelatch_node.ports import ReplicaCommands, Reachability
 
 
 @dataclass(eq=False)
@@ -20,15 +20,15 @@
     ninety of them would connect at the same time.
     """
 
-    orders: Orders
-    _checks: dict[str, 'asyncio.Future[Reach]'] = field(default_factory=dict)
+    commands: ReplicaCommands
+    _checks: dict[str, 'asyncio.Future[Reachability]'] = field(default_factory=dict)
 
     async def has_crashed(self, replica: Replica) -> bool:
         """Check whether a replica's address refuses connections."""
         check = self._checks.get(replica.name)
         if check is None:
-            check = asyncio.ensure_future(self.orders.reach(replica))
+            check = asyncio.ensure_future(self.commands.reach(replica))
             self._checks[replica.name] = check
             check.add_done_callback(lambda _: self._checks.pop(replica.name))
         # A client that disconnects must not cancel the check for the others.
-        return await asyncio.shield(check) is Reach.REFUSED
+        return await asyncio.shield(check) is Reachability.REFUSED
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ends.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_crashes.py
@@ -4,7 +4,7 @@
 from ryelatch_core.quarantine import RequestPhase
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 from ryelatch_node.relay._exchange import AdmittedRequest, Exchange
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 
 UNRESPONSIVE = 'silent'
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_exchange.py
@@ -9,7 +9,7 @@
 from ryelatch_core.events import EventKind, LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.routing import RetryPolicy, Route
-from ryelatch_node.ports import Headers, RequestTerms
+from ryelatch_node.ports import Headers, RequestMetadata
 from ryelatch_node.relay._errors import ClientGone
 
 _HOP_HEADERS = frozenset(
@@ -43,7 +43,7 @@
     target: str
     headers: Headers
     body: bytes
-    terms: RequestTerms
+    terms: RequestMetadata
     route: Route
     service: str
     account: str
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -17,7 +17,7 @@
     ShutdownState,
     admit,
 )
-from ryelatch_node.relay._beginning import InitialSync
+from ryelatch_node.relay._initial_sync import InitialSync
 from ryelatch_node.relay._errors import AnswerBroken, ClientGone
 from ryelatch_node.relay._exchange import (
     AdmittedRequest,
@@ -26,8 +26,8 @@
 )
 from ryelatch_node.relay._metrics import RelayMetrics
 from ryelatch_node.relay._model import relay_model
-from ryelatch_node.relay._parts import RelayContext
-from ryelatch_node.relay._plain import relay_non_model
+from ryelatch_node.relay._context import RelayContext
+from ryelatch_node.relay._non_model import relay_non_model
 from ryelatch_node.relay._watch import StreamWatch
 
 _REQUEST_TIMEOUT = 408
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_beginning.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_initial_sync.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 MAX_WAIT_SECONDS = 0.3
 """Longest wait of a request for the first configuration and replica list.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_evacuation.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from ryelatch_node.relay._stream import LiveStream
 
 LEAVING_SECONDS = 1.0
@@ -78,7 +78,7 @@
         """Find the earliest time at which a leaving replica may stop."""
         since = self.replicas.find_leaving_since(name)
         announced = now if since is None else since
-        return announced + self.replicas.known.terms.bound
+        return announced + self.replicas.freshness.bounds.bound
 
     def _is_due(self, stage: Stage, now: float) -> bool:
         listed = self.replicas.replicas.get(stage.replica.name)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -13,7 +13,7 @@
     list_first_replicas,
     misses_layers,
 )
-from ryelatch_node.relay._ends import record_stream_crash
+from ryelatch_node.relay._crashes import record_stream_crash
 from ryelatch_node.relay._errors import (
     AnswerBroken,
     SendError,
@@ -24,7 +24,7 @@
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
@@ -207,7 +207,7 @@
         version=request.version,
         last_event=progress.splitter.last,
         avoided=len(context.replicas.list_suspects()),
-        list_age=round_seconds(context.replicas.known.age),
+        list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(
             context.replicas.find_missing(
                 path_stage.replica.name for path_stage in path
@@ -302,7 +302,7 @@
     if not exchange.started:
         await exchange.start(answer.status, _strip_length(answer))
     await exchange.write(b'', more=False)
-    context.replicas.trust(stream.first_replica)
+    context.replicas.clear_suspicion(stream.first_replica)
     context.quarantine.record_run(stream.request.digest)
     record_outcome(context, stream, failed=False)
     return _AttemptResult.DONE
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_plain.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_non_model.py
@@ -6,14 +6,14 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Dispatch
-from ryelatch_node.relay._ends import UNRESPONSIVE, record_non_model_crash
+from ryelatch_node.relay._crashes import UNRESPONSIVE, record_non_model_crash
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 from ryelatch_node.relay._exchange import (
     AdmittedRequest,
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._permits import acquire_permit, find_retry_after
 from ryelatch_node.relay._upstream import Answer
 
@@ -208,7 +208,7 @@
         left=round_seconds(left),
         version=request.version,
         load=context.load.requests[replica.name],
-        list_age=round_seconds(context.replicas.known.age),
+        list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(context.replicas.find_missing((replica.name,))),
     )
     last = (
@@ -270,7 +270,7 @@
         failed=failed,
     )
     if not failed:
-        context.replicas.trust(replica)
+        context.replicas.clear_suspicion(replica)
     return _ReceivedAnswer(answer, body)
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_silence.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_path_checks.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 
 from ryelatch_core.fleet import Replica, Stage
-from ryelatch_node.ports import Reach
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.ports import Reachability
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.tasks import Tasks
 
 CONNECT_SECONDS = 0.03
@@ -112,7 +112,7 @@
     def _evaluate(
         self,
         replicas: list[Replica],
-        found: list[Reach],
+        found: list[Reachability],
         started: float,
     ) -> None:
         """Suspect the replicas that are lost.
@@ -120,21 +120,21 @@
         :param started: when the round started, in monotonic seconds.
         """
         now = self.context.clock.monotonic()
-        if Reach.LISTENS in found:
+        if Reachability.LISTENS in found:
             self._last_reached = now
-        if all(reach is Reach.LISTENS for reach in found):
+        if all(reach is Reachability.LISTENS for reach in found):
             self._factor = min(
                 MAX_THRESHOLD_FACTOR, self.threshold_factor * THRESHOLD_GROWTH
             )
             self._factor_set = now
         for replica, reach in zip(replicas, found, strict=True):
-            if reach is Reach.REFUSED:
+            if reach is Reachability.REFUSED:
                 self.context.replicas.suspect(replica, 'ended', full=False)
-            elif reach is Reach.UNKNOWN and self._last_reached >= started:
+            elif reach is Reachability.UNKNOWN and self._last_reached >= started:
                 # If no replica is reached, this node itself is cut off.
                 self.context.replicas.suspect(replica, 'silent', full=False)
 
-    async def _reach(self, replica: Replica) -> Reach:
+    async def _reach(self, replica: Replica) -> Reachability:
         """Connect to a replica twice in parallel, with a delayed second try.
 
         :returns: the first conclusive result of the two.
@@ -148,15 +148,15 @@
                 attempts, timeout=CONNECT_SECONDS
             ):
                 reach = await attempt
-                if reach is not Reach.UNKNOWN:
+                if reach is not Reachability.UNKNOWN:
                     return reach
         except TimeoutError:
-            return Reach.UNKNOWN
+            return Reachability.UNKNOWN
         finally:
             for task in attempts:
                 task.cancel()
-        return Reach.UNKNOWN
+        return Reachability.UNKNOWN
 
-    async def _try_after(self, replica: Replica, after: float) -> Reach:
+    async def _try_after(self, replica: Replica, after: float) -> Reachability:
         await asyncio.sleep(after)
-        return await self.context.orders.reach(replica)
+        return await self.context.commands.reach(replica)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -5,7 +5,7 @@
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Replica
 from ryelatch_node.relay._exchange import Exchange
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 RETRY_JITTER = 0.3
 """Fraction of a wait by which the times of clients' retries are spread."""
@@ -23,9 +23,9 @@
     """
     if not context.throttle.is_throttled(replica.name):
         return True
-    if await context.throttle.take(replica):
+    if await context.throttle.acquire_permit(replica):
         # The replica may have left while the permit was requested.
-        return context.replicas.offers(replica)
+        return context.replicas.is_available(replica)
     exchange.record(catalogue.PERMIT_DENIED, replica=replica.name)
     return False
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_probe.py
@@ -5,7 +5,7 @@
 
 from ryelatch_core.fleet import Replica
 from ryelatch_node.ports import Report
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.tasks import Tasks
 
 REPORT_TIMEOUT_SECONDS = 0.4
@@ -73,7 +73,7 @@
     async def _sends_report(self, replica: Replica) -> bool:
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_SECONDS):
-                report = await self.context.orders.read_report(replica)
+                report = await self.context.commands.read_report(replica)
         except TimeoutError:
             return False
         if report is None:
@@ -88,6 +88,6 @@
         and its entry shows that only seconds later. A report made while a
         command is carried out is ignored, as the layers are about to change.
         """
-        if report.holding is not None and not report.busy:
-            holding = report.holding
-            self.context.replicas.learn(replica, holding.layers, holding.born)
+        if report.loaded is not None and not report.busy:
+            loaded = report.loaded
+            self.context.replicas.apply_report(replica, loaded.layers, loaded.started_at)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -7,7 +7,7 @@
 from ryelatch_core.streams import EventSplitter
 from ryelatch_node.relay._errors import SendErrorKind
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.relay._upstream import Answer
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
@@ -2,7 +2,7 @@
 
 from ryelatch_core.fleet import ModelProfile, PathQuery
 from ryelatch_node.relay._exchange import AdmittedRequest
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 
 
 def find_profile(context: RelayContext, service: str) -> ModelProfile | None:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -25,7 +25,7 @@
 )
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._protocol import BoundedProtocol
 
 NOTICE_SECONDS = 3.0
@@ -156,7 +156,7 @@
         """Apply settings that changed while this process runs."""
         self._context.startup = changed.startup
         self._context.configuration.set_bound(changed.startup.revoke_seconds)
-        self._context.replicas.known.terms = compute_departure_bounds(
+        self._context.replicas.freshness.bounds = compute_departure_bounds(
             changed.startup.drain_seconds, changed.startup.steady_seconds
         )
         self._apply_budget()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -5,21 +5,21 @@
 from ryelatch_core.events import LineLog, UsageTracker, catalogue, keep_running
 from ryelatch_core.fleet import LoadTracker, Replica
 from ryelatch_core.kernel import App, Service, cancel_task
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
+from ryelatch_node.views import ConfigurationView, ReplicaView
 from ryelatch_node.listener import Listener
 from ryelatch_node.ports import (
-    AnswerTerms,
-    NodesCounted,
-    Orders,
+    AnswerMetadata,
+    NodeCountChanged,
+    ReplicaCommands,
     RelayStartup,
     SettingsChanged,
-    Wire,
+    HeaderCodec,
 )
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_node.relay._budget import RetryAllowance, make_budget
 from ryelatch_node.relay._ingress import Ingress
 from ryelatch_node.relay._metrics import RelayMetrics
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._server import RelayServer
 from ryelatch_node.relay._upstream import AnswerHook, Upstreams
@@ -62,12 +62,12 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self._context.replicas.drop_lapsed()
+            self._context.replicas.drop_expired()
             self._context.budget.refill(HOUSEKEEPING_SECONDS)
             self._forget_removed()
             self._context.quarantine.evaluate()
             self._context.configuration.allows_keys()
-            self._context.replicas.known.check()
+            self._context.replicas.freshness.check()
             self._server.apply_limits()
             self._context.log.report_dropped()
             if (
@@ -114,7 +114,7 @@
             'streams_open': lambda: len(watch.streams),
             'configuration_version': lambda: context.configuration.version,
             'configuration_age_seconds': lambda: context.configuration.age,
-            'registry_age_seconds': lambda: context.replicas.known.age,
+            'registry_age_seconds': lambda: context.replicas.freshness.age,
             'replicas_listed': lambda: len(context.replicas.replicas),
             'entries_refused': lambda: context.replicas.refused,
             'replicas_suspected': lambda: len(context.replicas.list_suspects()),
@@ -136,7 +136,7 @@
     housekeeper = Housekeeper(context, server)
     app.hub.connect(SettingsChanged, server.apply_settings)
     app.hub.connect(
-        NodesCounted, lambda counted: server.set_node_count(counted.nodes)
+        NodeCountChanged, lambda counted: server.set_node_count(counted.nodes)
     )
     upstreams = context.upstreams
     app.add(
@@ -175,7 +175,7 @@
 
 def _collect_parts(app: App) -> RelayContext:
     startup = app.find('startup', RelayStartup)
-    wire = app.find('wire', Wire)
+    wire = app.find('wire', HeaderCodec)
     load = LoadTracker()
     load.set_node_count(ASSUMED_NODES)
     throttle = app.find('throttle', Throttle)
@@ -189,7 +189,7 @@
         replicas=replicas,
         upstreams=Upstreams(wire, _make_answer_hook(throttle, replicas)),
         wire=wire,
-        orders=app.find('orders', Orders),
+        commands=app.find('orders', ReplicaCommands),
         budget=make_budget(
             RetryAllowance(
                 startup.retry_ratio, startup.retry_extra, startup.retry_window
@@ -205,12 +205,12 @@
 def _make_answer_hook(throttle: Throttle, replicas: ReplicaView) -> AnswerHook:
     """Create the hook that applies what replicas state in their answers."""
 
-    def on_answer(replica: Replica, terms: AnswerTerms) -> None:
+    def on_answer(replica: Replica, terms: AnswerMetadata) -> None:
         # Another replica may have the address by now.
         if terms.entry not in {'', replica.entry}:
             return
-        throttle.note_answer(replica, terms)
+        throttle.record_answer(replica, terms)
         if terms.leaving:
-            replicas.note_leaving(replica)
+            replicas.record_leaving(replica)
 
     return on_answer
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_slow_replicas.py
@@ -7,7 +7,7 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.fleet import Replica, Stage, StepFactorTracker
 from ryelatch_core.kernel import Clock
-from ryelatch_node.ports import Orders
+from ryelatch_node.ports import ReplicaCommands
 from ryelatch_node.tasks import Tasks
 
 REPORT_TIMEOUT_SECONDS = 0.4
@@ -28,7 +28,7 @@
 
     log: LineLog
     clock: Clock
-    orders: Orders
+    commands: ReplicaCommands
     is_throttled: Callable[[str], bool] = lambda _: False
     tracker: StepFactorTracker = field(default_factory=StepFactorTracker)
     _requested_at: dict[str, float] = field(default_factory=dict)
@@ -74,15 +74,15 @@
     async def _read_report(self, replica: Replica) -> None:
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_SECONDS):
-                report = await self.orders.read_report(replica)
+                report = await self.commands.read_report(replica)
         except TimeoutError:
             return
         if report is None:
             return
         now = self.clock.monotonic()
-        if self.tracker.record_factor(replica.name, report.pace, now):
+        if self.tracker.record_factor(replica.name, report.step_factor, now):
             self.log.record(
                 catalogue.REPLICA_SLOW,
                 replica=replica.name,
-                pace=report.pace,
+                pace=report.step_factor,
             )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_mover.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream_migrator.py
@@ -4,9 +4,9 @@
 
 from ryelatch_core.events import catalogue
 from ryelatch_core.fleet import Stage, choose_path
-from ryelatch_node.ports import MoveAnswer, OrderResult
+from ryelatch_node.ports import MoveResult, CommandResult
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._query import make_path_query
 from ryelatch_node.relay._stream import LiveStream
@@ -31,7 +31,7 @@
         lost: frozenset[str],
         *,
         crosses: bool = True,
-    ) -> OrderResult | None:
+    ) -> CommandResult | None:
         """Move a stream to another path that avoids some replicas.
 
         If a replica of the new path has no memory left, that replica is
@@ -41,14 +41,14 @@
         :param crosses: whether the new path may change zones.
         :returns: result of the last command; nothing if there was no path.
         """
-        result: OrderResult | None = None
+        result: CommandResult | None = None
         for _ in range(MOVE_TRIES):
             path = self._choose_path(stream, lost, crosses=crosses)
             if not path:
                 break
             moved = await self._command(stream, path, lost)
             result = moved.result
-            if result is not OrderResult.CONFLICT or not moved.fault:
+            if result is not CommandResult.CONFLICT or not moved.fault:
                 break
             self._suspect(stream, path, moved.fault)
         return result
@@ -58,12 +58,12 @@
         stream: LiveStream,
         path: tuple[Stage, ...],
         lost: frozenset[str],
-    ) -> MoveAnswer:
+    ) -> MoveResult:
         identity = stream.request.terms.identity
         pause = self.context.clock.monotonic() - stream.progress
-        if not await self.context.throttle.take(stream.first_replica):
-            return MoveAnswer(OrderResult.REFUSED)
-        moved = await self.context.orders.move(
+        if not await self.context.throttle.acquire_permit(stream.first_replica):
+            return MoveResult(CommandResult.REFUSED)
+        moved = await self.context.commands.move(
             stream.first_replica, identity, path
         )
         stream.exchange.record(
@@ -73,7 +73,7 @@
             fault=moved.fault,
             pause=round_seconds(pause),
         )
-        if moved.result in {OrderResult.BEGUN, OrderResult.HELD}:
+        if moved.result in {CommandResult.BEGUN, CommandResult.HELD}:
             now = self.context.clock.monotonic()
             self.context.load.remove(stream.path, stream.tokens, now)
             self.context.load.add(path, stream.tokens, now)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -11,7 +11,7 @@
 
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import CONNECT_TIMEOUT_SECONDS
-from ryelatch_node.ports import AnswerTerms, Headers, Wire
+from ryelatch_node.ports import AnswerMetadata, Headers, HeaderCodec
 from ryelatch_node.relay._errors import SendError, SendErrorKind
 
 IDLE_SECONDS = 4.0
@@ -29,7 +29,7 @@
 )
 
 
-AnswerHook: TypeAlias = Callable[[Replica, AnswerTerms], None]
+AnswerHook: TypeAlias = Callable[[Replica, AnswerMetadata], None]
 """Handles what an answer states about the replica that sent it."""
 
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         response: aiohttp.ClientResponse,
-        terms: AnswerTerms,
+        terms: AnswerMetadata,
     ) -> None:
         self.status = response.status
         self.headers: Headers = [
@@ -95,7 +95,7 @@
     :param on_answer: is called for each answer that is accepted.
     """
 
-    def __init__(self, wire: Wire, on_answer: AnswerHook) -> None:
+    def __init__(self, wire: HeaderCodec, on_answer: AnswerHook) -> None:
         self._wire = wire
         self._on_answer = on_answer
         self._pooled: aiohttp.ClientSession | None = None
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -13,14 +13,14 @@
 from ryelatch_core.events import catalogue, keep_running
 from ryelatch_core.fleet import Replica, choose_path
 from ryelatch_core.kernel import LagMeter, cancel_task
-from ryelatch_node.ports import OrderResult
-from ryelatch_node.relay._evacuation import MigrationPlanner
+from ryelatch_node.ports import CommandResult
+from ryelatch_node.relay._migration_planner import MigrationPlanner
 from ryelatch_node.relay._exchange import round_seconds
-from ryelatch_node.relay._mover import StreamMigrator
-from ryelatch_node.relay._parts import RelayContext
+from ryelatch_node.relay._stream_migrator import StreamMigrator
+from ryelatch_node.relay._context import RelayContext
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._query import find_profile, make_path_query
-from ryelatch_node.relay._silence import PathChecks
+from ryelatch_node.relay._path_checks import PathChecks
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.tasks import Tasks
 
@@ -180,12 +180,12 @@
         self._tasks.spawn(self._evaluate_report(replica))
 
     async def _evaluate_report(self, replica: Replica) -> None:
-        if not await self.context.throttle.take(replica):
+        if not await self.context.throttle.acquire_permit(replica):
             return
         sent = self.context.clock.monotonic()
         try:
             async with asyncio.timeout(_REPORT_TIMEOUT_SECONDS):
-                report = await self.context.orders.read_report(replica)
+                report = await self.context.commands.read_report(replica)
         except TimeoutError:
             self._lag.record(
                 sent + _REPORT_TIMEOUT_SECONDS, self.context.clock.monotonic()
@@ -255,7 +255,7 @@
             )
         finally:
             stream.moving = False
-        if result in {OrderResult.BEGUN, OrderResult.HELD}:
+        if result in {CommandResult.BEGUN, CommandResult.HELD}:
             return
         stream.last_move_attempt += REFUSED_MOVE_PAUSE_SECONDS
         # Until the client notices the pause, a new run may still produce an
@@ -306,7 +306,7 @@
         profile = find_profile(self.context, service)
         if profile is None:
             return False
-        alive = self.context.replicas.list_alive(service)
+        alive = self.context.replicas.list_reachable(service)
         names = {replica.name for replica in alive}
         lost = [
             stage for stage in stream.path if stage.replica.name not in names
--- a/packages/ryelatch-node/src/ryelatch_node/store/_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/store/_client.py
@@ -30,7 +30,7 @@
     CONFLICT = 'conflict'
     """The object is not in the version that the write demands."""
 
-    OUT = 'out'
+    UNAVAILABLE = 'out'
     """No answer; a write may have taken effect all the same."""
 
     UNCHANGED = 'unchanged'
@@ -162,13 +162,13 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._replace_session(session)
             self._note(answered=False)
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
         if response.status in _REASONS:
             self._note(answered=True)
             return Err(_REASONS[HTTPStatus(response.status)])
         if response.status >= HTTPStatus.BAD_REQUEST:
             self._note(answered=False)
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
         self._note(answered=True)
         version = response.headers.get('ETag', '').strip('"')
         return Ok(Entry(content, version))
@@ -209,7 +209,7 @@
         try:
             return Ok(msgspec.json.decode(entry.body, type=kind))
         except msgspec.MsgspecError:
-            return Err(StoreError.OUT)
+            return Err(StoreError.UNAVAILABLE)
 
     return decode
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_limiter.py
@@ -5,7 +5,7 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.throttle import LimitTracker, ReportedLimit, TokenBucket
-from ryelatch_node.news import PermitQuestion, PermitReply
+from ryelatch_node.peer_sync import PermitRequest, PermitReply
 
 
 @dataclass(eq=False)
@@ -36,7 +36,7 @@
             )
         return True
 
-    def answer(self, question: PermitQuestion) -> PermitReply:
+    def answer(self, question: PermitRequest) -> PermitReply:
         """Grant a permit to a node that asks, if there is one."""
         name, now = question.replica, self.clock.monotonic()
         self.record_limit(
@@ -53,13 +53,13 @@
         wait = bucket.find_wait(now)
         return PermitReply(granted, wait, heard.limit, max(0, now - heard.at))
 
-    def make_question(self, name: str) -> PermitQuestion:
+    def make_question(self, name: str) -> PermitRequest:
         """Ask for a permit, with what this node knows of the limit."""
         heard = self.limits.find(name)
         now = self.clock.monotonic()
         if heard is None:
-            return PermitQuestion(name, None, 0)
-        return PermitQuestion(name, heard.limit, max(0, now - heard.at))
+            return PermitRequest(name, None, 0)
+        return PermitRequest(name, heard.limit, max(0, now - heard.at))
 
     def forget_idle(self) -> None:
         """Forget the permits that nobody asks for any more.
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_lines.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_permit_client.py
@@ -9,13 +9,13 @@
 from ryelatch_core.events import LineLog, catalogue
 from ryelatch_core.kernel import Clock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import (
-    FAILURES,
-    Line,
-    News,
-    PermitQuestion,
+from ryelatch_node.peer_sync import (
+    REQUEST_ERRORS,
+    PeerConnection,
+    PeerSync,
+    PermitRequest,
     PermitReply,
-    open_line,
+    connect_to_peer,
 )
 
 ASK_SECONDS = 0.1
@@ -41,13 +41,13 @@
 
 
 @dataclass(eq=False)
-class PermitLines:
+class PermitClient:
     """Connections to the nodes that grant permits, by address."""
 
     log: LineLog
     clock: Clock
-    news: News
-    _lines: dict[str, Line] = field(default_factory=dict)
+    peer_sync: PeerSync
+    _lines: dict[str, PeerConnection] = field(default_factory=dict)
     _locks: dict[str, asyncio.Lock] = field(
         default_factory=lambda: defaultdict(asyncio.Lock)
     )
@@ -66,7 +66,7 @@
     async def ask(
         self,
         limiter: NodeEntry,
-        question: PermitQuestion,
+        question: PermitRequest,
     ) -> PermitReply | None:
         """Ask a node for a permit.
 
@@ -78,7 +78,7 @@
                 return None
             try:
                 return await self._exchange(limiter.address, question)
-            except FAILURES as error:
+            except REQUEST_ERRORS as error:
                 self._leave(limiter, type(error).__name__)
                 return None
             except asyncio.CancelledError:
@@ -89,14 +89,14 @@
     async def _exchange(
         self,
         address: str,
-        question: PermitQuestion,
+        question: PermitRequest,
     ) -> PermitReply:
         async with asyncio.timeout(ASK_SECONDS):
             line = self._lines.get(address)
             if line is None:
-                line = await open_line(self.news.dial, address)
+                line = await connect_to_peer(self.peer_sync.dial, address)
                 self._lines[address] = line
-            body = await line.ask(question)
+            body = await line.send_request(question)
         reply = msgspec.msgpack.decode(body, type=PermitReply)
         self._left.pop(address, None)
         return reply
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -10,11 +10,11 @@
 from ryelatch_core.kernel import App, Clock, Service
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import BackoffTracker, ReportedLimit, rank_limiters
-from ryelatch_node.news import News, PermitReply
-from ryelatch_node.ports import AnswerTerms, RelayStartup
+from ryelatch_node.peer_sync import PeerSync, PermitReply
+from ryelatch_node.ports import AnswerMetadata, RelayStartup
 from ryelatch_node.tasks import Tasks
 from ryelatch_node.throttle._limiter import Limiter
-from ryelatch_node.throttle._lines import PermitLines
+from ryelatch_node.throttle._permit_client import PermitClient
 
 MOST_ASKED = 2
 """Nodes that are asked for a permit at most, one after the other."""
@@ -48,8 +48,8 @@
     log: LineLog
     clock: Clock
     startup: RelayStartup
-    news: News
-    lines: PermitLines
+    peer_sync: PeerSync
+    lines: PermitClient
     costs: UsageTracker = field(default_factory=UsageTracker)
     limiter: Limiter = field(init=False)
     _backoffs: BackoffTracker = field(default_factory=BackoffTracker)
@@ -62,14 +62,14 @@
         """Make what tells others, and answer them."""
         self._tasks = Tasks(self.log, 'throttle')
         self.limiter = Limiter(self.log, self.clock)
-        self.news.server.answer_permit = self.limiter.answer
+        self.peer_sync.server.handle_permit_request = self.limiter.answer
 
     async def stop(self) -> None:
         """Ask and tell nothing more."""
         await self._tasks.stop()
         self.lines.stop()
 
-    def note_answer(self, replica: Replica, terms: AnswerTerms) -> None:
+    def record_answer(self, replica: Replica, terms: AnswerMetadata) -> None:
         """Take what an answer says of the replica that gave it."""
         name = replica.name
         self._note_backoff(name, terms.backoff)
@@ -123,7 +123,7 @@
         }
         return frozenset(self._closed) | self._backoffs.list_names(now)
 
-    async def take(self, replica: Replica) -> bool:
+    async def acquire_permit(self, replica: Replica) -> bool:
         """Take leave to send one request to a replica.
 
         :returns: whether it may be sent.
@@ -161,7 +161,7 @@
 
     async def _seek(self, name: str) -> PermitReply:
         """Ask the nodes that grant the permits of a replica, in their order."""
-        if not self.news.nodes:
+        if not self.peer_sync.nodes:
             # Just started, and no list of the nodes has come yet.
             return self.limiter.answer(self.limiter.make_question(name))
         reachable = itertools.filterfalse(
@@ -176,8 +176,8 @@
 
     def _list_limiters(self, name: str) -> list[NodeEntry]:
         """List the nodes to ask; ranking a large fleet takes a millisecond."""
-        if self._ranked_nodes is not self.news.nodes:
-            self._ranked_nodes = self.news.nodes
+        if self._ranked_nodes is not self.peer_sync.nodes:
+            self._ranked_nodes = self.peer_sync.nodes
             self._ranked.clear()
         if name not in self._ranked:
             ranked = rank_limiters(name, self._ranked_nodes)
@@ -205,13 +205,13 @@
 def setup(app: App) -> None:
     """Add the service ``throttle``."""
     log = app.find('log', LineLog)
-    news = app.find('news', News)
+    peer_sync = app.find('news', PeerSync)
     throttle = Throttle(
         log,
         app.clock,
         app.find('startup', RelayStartup),
-        news,
-        PermitLines(log, app.clock, news),
+        peer_sync,
+        PermitClient(log, app.clock, peer_sync),
         app.find('costs', UsageTracker),
     )
     app.add(Service('throttle', throttle, ('news',), stop=throttle.stop))
--- a/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/upstreams/_service.py
@@ -77,7 +77,7 @@
             and not self._is_leaving(link.vm.name)
         ]
 
-    def list_plain(self, role: str) -> list[Vm]:
+    def list_service_vms(self, role: str) -> list[Vm]:
         """List the upstreams of a plain service that may get new work."""
         return self.roster.list_role(role)
 
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_configuration.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_configuration.py
@@ -8,7 +8,7 @@
     RoutingTable,
     build_table,
 )
-from ryelatch_node.beliefs._known import NEVER_SECONDS
+from ryelatch_node.views._freshness import NEVER_SECONDS
 
 
 class ConfigurationView:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_known.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_freshness.py
@@ -16,13 +16,13 @@
 class Known:
     """The time of a node's knowledge, and how old that may be.
 
-    :param terms: bounds on requests to replicas that have left.
+    :param bounds: bounds on requests to replicas that have left.
     :param at: monotonic seconds at which nothing else had changed.
     """
 
     log: LineLog
     clock: Clock
-    terms: DepartureBounds
+    bounds: DepartureBounds
     at: float = float('-inf')
     _fresh: bool = True
 
@@ -34,7 +34,7 @@
     @property
     def left(self) -> float:
         """Seconds until the list is older than it should be."""
-        return self.terms.max_age - self.age
+        return self.bounds.max_age - self.age
 
     def confirm(self, known: float) -> None:
         """Note that nothing else had changed at a time.
@@ -51,7 +51,7 @@
             self.log.record(
                 catalogue.REGISTRY_FRESH if fresh else catalogue.REGISTRY_STALE,
                 list_age=self.round_age(),
-                max_age=self.terms.max_age,
+                max_age=self.bounds.max_age,
             )
 
     def round_age(self) -> float:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_lives.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_incarnations.py
@@ -68,7 +68,7 @@
 
     def _age(self, replica: Replica) -> tuple[int, int]:
         """Sort lives by when they began, or by when they appeared here."""
-        return replica.born, self._seen.get(replica.name, 0)
+        return replica.started_at, self._seen.get(replica.name, 0)
 
 
 def _exclude(one: Replica, other: Replica) -> bool:
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
@@ -14,12 +14,12 @@
 )
 from ryelatch_core.kernel import Clock, Hub
 from ryelatch_core.membership import DepartureBounds
-from ryelatch_node.beliefs._known import Known
-from ryelatch_node.beliefs._learned import Denials
-from ryelatch_node.beliefs._leavers import Leavers
-from ryelatch_node.beliefs._lives import Lives
-from ryelatch_node.beliefs._missing import MissingEntries
-from ryelatch_node.beliefs._roster import Roster
+from ryelatch_node.views._freshness import Known
+from ryelatch_node.views._report_overrides import Denials
+from ryelatch_node.views._leaving import Leavers
+from ryelatch_node.views._incarnations import Lives
+from ryelatch_node.views._missing import MissingEntries
+from ryelatch_node.views._replica_index import Roster
 
 _DIGITS = 3
 
@@ -32,7 +32,7 @@
 class ReplicaView:
     """Replicas by name.
 
-    :param terms: bounds on requests to replicas that have left.
+    :param bounds: bounds on requests to replicas that have left.
     """
 
     def __init__(
@@ -40,14 +40,14 @@
         log: LineLog,
         clock: Clock,
         hub: Hub,
-        terms: DepartureBounds,
+        bounds: DepartureBounds,
     ) -> None:
         self._roster = Roster()
         self.replicas: Mapping[str, Replica] = self._roster.by_name
         self.listed = False
         # Entries of the registry that name no replica to use.
         self.refused = 0
-        self.known = Known(log, clock, terms)
+        self.freshness = Known(log, clock, bounds)
         self._log = log
         self._clock = clock
         self._hub = hub
@@ -107,26 +107,26 @@
         self._let_go(replica.name, unanswered)
         self._tell()
 
-    def learn(
+    def apply_report(
         self,
         replica: Replica,
         layers: LayerRange | None,
-        born: int,
+        started_at: int,
     ) -> None:
         """Take what a replica says of itself before its entry tells it.
 
         A replica that has started again holds nothing, and its entry says so
         up to two seconds later. Until then every path through it is refused.
 
-        :param born: when the life that spoke began; 0 if it didn't say.
+        :param started_at: when the life that spoke began; 0 if it didn't say.
         """
         known = self.replicas.get(replica.name)
-        if known is None or born < known.born:
+        if known is None or started_at < known.started_at:
             return
-        if born > known.born:
-            name = name_incarnation(known.entry, born)
+        if started_at > known.started_at:
+            name = name_incarnation(known.entry, started_at)
             self._missing.pass_on(known.name, name)
-            self._put(replace(known, name=name, born=born, layers=layers))
+            self._put(replace(known, name=name, started_at=started_at, layers=layers))
             self._tell()
             return
         if layers == known.layers:
@@ -136,7 +136,7 @@
         self._denials.note(known.name, known.layers, self._clock.monotonic())
         self._tell()
 
-    def note_leaving(self, replica: Replica) -> None:
+    def record_leaving(self, replica: Replica) -> None:
         """Take a replica's word that it leaves; its entry takes none back."""
         if not self._leavers.note(replica.name):
             return
@@ -155,13 +155,13 @@
             self._end(replica)
             self._tell()
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop the entries that did not come back in time."""
         now = self._clock.monotonic()
         due = self._missing.list_due(now)
         for name in due:
             self._drop(name)
-        waiting = self._denials.take_due(now, self.known.at)
+        waiting = self._denials.take_due(now, self.freshness.at)
         for replica in waiting:
             self._put(replica)
         if waiting or due:
@@ -183,12 +183,12 @@
             and replica.name not in due
         ]
 
-    def offers(self, replica: Replica) -> bool:
+    def is_available(self, replica: Replica) -> bool:
         """Whether a replica may get new work now."""
         offered = self.list_service(replica.service)
         return any(one.name == replica.name for one in offered)
 
-    def list_alive(self, service: str) -> list[Replica]:
+    def list_reachable(self, service: str) -> list[Replica]:
         """List the replicas of a service that aren't taken to be lost."""
         lost = self.list_unreachable()
         return [
@@ -238,7 +238,7 @@
             )
             self._tell()
 
-    def trust(self, replica: Replica) -> None:
+    def clear_suspicion(self, replica: Replica) -> None:
         """Take back a suspicion after an answer."""
         self._suspects.clear(replica.name)
         self._unreachable.clear(replica.name)
@@ -259,13 +259,13 @@
         if self.replicas.get(replica.name) == replica:
             return
         now = self._clock.monotonic()
-        if self._denials.holds_against(replica, now, self.known.at):
+        if self._denials.holds_against(replica, now, self.freshness.at):
             return
         for ended in self._lives.list_replaced(replica, known):
             self._end(ended)
         self._roster.put(replica)
         if replica.leaving:
-            self._leaving.setdefault(replica.name, self.known.at)
+            self._leaving.setdefault(replica.name, self.freshness.at)
         else:
             self._leaving.pop(replica.name, None)
         held = replica.layers
@@ -300,14 +300,14 @@
         seconds still kept replicas in use that had left after it.
         """
         now = self._clock.monotonic()
-        until = unanswered + self.known.terms.retention
+        until = unanswered + self.freshness.bounds.retention
         if self.replicas[name].leaving or until <= now:
             self._drop(name)
         elif self._missing.add(name, now, until):
             self._log.record(
                 catalogue.REPLICA_LAPSED,
                 replica=name,
-                list_age=self.known.round_age(),
+                list_age=self.freshness.round_age(),
                 kept=round(until - now, _DIGITS),
             )
 
@@ -319,5 +319,5 @@
             self._log.record(
                 catalogue.REPLICA_GONE,
                 replica=name,
-                list_age=self.known.round_age(),
+                list_age=self.freshness.round_age(),
             )
--- a/packages/ryelatch-node/src/ryelatch_node/beliefs/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_service.py
@@ -3,8 +3,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, Service
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs._configuration import ConfigurationView
-from ryelatch_node.beliefs._replicas import ReplicaView
+from ryelatch_node.views._configuration import ConfigurationView
+from ryelatch_node.views._replicas import ReplicaView
 from ryelatch_node.ports import RelayStartup
 
 
@@ -14,8 +14,8 @@
     log = app.find('log', LineLog)
     configuration = ConfigurationView(log, app.clock, startup.revoke_seconds)
     app.add(Service('configuration', configuration))
-    terms = compute_departure_bounds(
+    bounds = compute_departure_bounds(
         startup.drain_seconds, startup.steady_seconds
     )
-    replicas = ReplicaView(log, app.clock, app.hub, terms)
+    replicas = ReplicaView(log, app.clock, app.hub, bounds)
     app.add(Service('replicas', replicas))
--- a/tests/core/quarantine/test_book.py
+++ b/tests/core/quarantine/test_tracker.py
@@ -11,7 +11,7 @@
     StoredCrashes,
     StoreWrite,
 )
-from ryelatch_core.quarantine._book import (
+from ryelatch_core.quarantine._tracker import (
     CLEANUP_DELAY_SECONDS,
     CLEARED_SECONDS,
     MAX_TRACKED_REQUESTS,
--- a/tests/fleet/placing.py
+++ b/tests/fleet/placing.py
@@ -13,13 +13,13 @@
 from ryelatch_core.fleet import LayerRange, Replica
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, Lease, compute_departure_bounds
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.duty import LeaseKeeper, PlacementDuty
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.placement import LeaseManager, PlacementController
 from ryelatch_node.ports import (
     LeaseRecord,
     LeaseStore,
-    OrderResult,
-    Orders,
+    CommandResult,
+    ReplicaCommands,
     Report,
 )
 from ryelatch_platform._objects import Metadata, StoredObject
@@ -37,12 +37,12 @@
     """
 
     load_seconds: float = 0.5
-    result: OrderResult = OrderResult.BEGUN
+    result: CommandResult = CommandResult.BEGUN
     record: LeaseRecord = dataclasses.field(
         default_factory=lambda: LeaseRecord(None, 0)
     )
-    orders: list[tuple[str, str, int]] = dataclasses.field(default_factory=list)
-    duties: list[PlacementDuty] = dataclasses.field(default_factory=list)
+    commands: list[tuple[str, str, int]] = dataclasses.field(default_factory=list)
+    controllers: list[PlacementController] = dataclasses.field(default_factory=list)
     lose_writes: bool = False
 
     async def write(self, lease: Lease, revision: int) -> LeaseRecord | None:
@@ -52,11 +52,11 @@
         if revision != self.record.revision:
             return self.record
         self.record = LeaseRecord(lease, revision + 1, revision)
-        for duty in self.duties:
-            duty.lease.follow(self.record)
+        for controller in self.controllers:
+            controller.lease.apply_record(self.record)
         return self.record
 
-    def add_node(self, name: str, spread: float) -> PlacementDuty:
+    def add_node(self, name: str, spread: float) -> PlacementController:
         """Make the duty of one more node."""
         clock = BootClock()
         log = LineLog(name, clock, len)
@@ -64,36 +64,36 @@
         raw = _encode(make_configuration())
         configuration.offer(translate_configuration(raw), clock.monotonic())
         view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
-        orders = Orders(
+        commands = ReplicaCommands(
             place=self._make_place(name),
             move=_refuse,
             read_report=_report,
             reach=_refuse,
         )
-        duty = PlacementDuty(
+        controller = PlacementController(
             log=log,
             clock=clock,
             configuration=configuration,
             replicas=view,
-            orders=orders,
-            lease=LeaseKeeper(log, clock, LeaseStore(self.write), spread, name),
+            commands=commands,
+            lease=LeaseManager(log, clock, LeaseStore(self.write), spread, name),
         )
-        duty.lease.follow(self.record)
-        self.duties.append(duty)
-        return duty
+        controller.lease.apply_record(self.record)
+        self.controllers.append(controller)
+        return controller
 
     def list_replicas(self, replicas: list[Replica]) -> None:
         """Give all nodes a list."""
-        for duty in self.duties:
-            duty.replicas.replace(replicas, unanswered=NEVER)
-            duty.wake(None)  # type: ignore[arg-type]
+        for controller in self.controllers:
+            controller.replicas.replace(replicas, unanswered=NEVER)
+            controller.wake(None)  # type: ignore[arg-type]
 
     def _make_place(self, name: str) -> Callable[..., Any]:
         async def place(
             replica: Replica, layers: LayerRange, fence: int, sequence: int
-        ) -> OrderResult:
-            self.orders.append((name, replica.name, fence))
-            if self.result is OrderResult.BEGUN:
+        ) -> CommandResult:
+            self.commands.append((name, replica.name, fence))
+            if self.result is CommandResult.BEGUN:
                 held = dataclasses.replace(replica, layers=layers)
                 loop = asyncio.get_running_loop()
                 loop.call_later(self.load_seconds, self._finish, held)
@@ -102,8 +102,8 @@
         return place
 
     def _finish(self, replica: Replica) -> None:
-        for duty in self.duties:
-            duty.replicas.put(replica)
+        for controller in self.controllers:
+            controller.replicas.put(replica)
 
 
 def _encode(configuration: dict[str, Any]) -> StoredObject:
@@ -128,10 +128,10 @@
     """Run the duty of some nodes."""
     for number in range(count):
         platform.add_node(f'node-{number}', spread=0.1 + number * 0.1)
-    for duty in platform.duties:
-        await duty.start()
+    for controller in platform.controllers:
+        await controller.start()
     try:
         yield
     finally:
-        for duty in platform.duties:
-            await duty.stop()
+        for controller in platform.controllers:
+            await controller.stop()
--- a/tests/node/news/test_introduction.py
+++ b/tests/node/peer_sync/test_bootstrap_client.py
@@ -7,7 +7,7 @@
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import (
+from ryelatch_node.peer_sync._frames import (
     Change,
     Greeting,
     Question,
@@ -15,8 +15,8 @@
     encode,
     pack,
 )
-from ryelatch_node.news._greeter import list_following
-from ryelatch_node.news._introduction import Introduction
+from ryelatch_node.peer_sync._bootstrapper import list_following
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from virtual.links import open_pair
 from virtual.loop import VirtualClock
 
@@ -39,7 +39,7 @@
         self.learned: list[tuple[NodeEntry, ...]] = []
         self.log = LineLog('a', VirtualClock(), len)
         self._body = body
-        self.introduction = Introduction(
+        self.bootstrap_client = BootstrapClient(
             self.log,
             VirtualClock(),
             self._dial,
@@ -55,34 +55,34 @@
 
 async def test_greeting_is_taken_by_one_that_needs_it() -> None:
     case = _Case()
-    assert not case.introduction.take(Greeting('b', _NODES)).knows
+    assert not case.bootstrap_client.take(Greeting('b', _NODES)).knows
     assert case.learned == [_NODES]
-    assert case.introduction.greeted.is_set()
+    assert case.bootstrap_client.peer_available.is_set()
 
 
 async def test_greeting_tells_a_sound_node_nothing() -> None:
     case = _Case(knows=True)
-    assert case.introduction.take(Greeting('b', _NODES)).knows
+    assert case.bootstrap_client.take(Greeting('b', _NODES)).knows
     assert not case.learned
 
 
 async def test_greeting_of_a_stranger_is_not_taken() -> None:
     """Something greets that is none of the nodes it names."""
     case = _Case()
-    case.introduction.take(Greeting('x', _NODES))
+    case.bootstrap_client.take(Greeting('x', _NODES))
     assert not case.learned
-    assert not case.introduction.greeted.is_set()
+    assert not case.bootstrap_client.peer_available.is_set()
 
 
 async def test_objects_are_dated_as_the_peer_knew_them() -> None:
     packed = pack((Change(b'{}', deleted=False),))
     reply = WholeReply(known=True, at=7, age=_AGE, packed=packed)
     case = _Case(encode(reply))
-    case.introduction.take(Greeting('b', _NODES))
-    heard = await case.introduction.ask_whole('servers')
+    case.bootstrap_client.take(Greeting('b', _NODES))
+    heard = await case.bootstrap_client.request_list('servers')
     assert heard is not None
     assert heard.at == 7
-    assert asyncio.get_running_loop().time() - heard.known >= _AGE
+    assert asyncio.get_running_loop().time() - heard.confirmed_at >= _AGE
 
 
 @pytest.mark.parametrize(
@@ -98,9 +98,9 @@
 )
 async def test_peer_that_tells_nonsense_is_left(reply: Any) -> None:
     case = _Case(encode(reply))
-    case.introduction.take(Greeting('b', _NODES))
-    assert await case.introduction.ask_whole('servers') is None
-    assert not case.introduction.greeted.is_set()
+    case.bootstrap_client.take(Greeting('b', _NODES))
+    assert await case.bootstrap_client.request_list('servers') is None
+    assert not case.bootstrap_client.peer_available.is_set()
     assert case.log.counts['watcher-left'] == 1
 
 
--- a/tests/node/news/test_greeter.py
+++ b/tests/node/peer_sync/test_bootstrapper.py
@@ -5,8 +5,8 @@
 
 from ryelatch_core.events import LineLog
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news._frames import GreetingReply, encode
-from ryelatch_node.news._greeter import LOST_SECONDS, Greeter
+from ryelatch_node.peer_sync._frames import GreetingReply, encode
+from ryelatch_node.peer_sync._bootstrapper import LOST_SECONDS, Greeter
 from virtual.links import open_pair
 from virtual.loop import VirtualClock, run
 
--- a/tests/node/news/test_frames.py
+++ b/tests/node/peer_sync/test_frames.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from ryelatch_node.news._frames import MOST_BYTES, Change, pack, unpack
+from ryelatch_node.peer_sync._frames import MOST_BYTES, Change, pack, unpack
 
 
 def test_changes_are_read_as_they_were_told() -> None:
--- a/tests/node/news/test_nonsense.py
+++ b/tests/node/peer_sync/test_malformed_frames.py
@@ -15,8 +15,8 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import News
-from ryelatch_node.news._frames import Question, Reply, encode, read_body
+from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.peer_sync._frames import Question, Reply, encode, read_body
 
 _NAMES = [f'node-{number:02}' for number in range(21)]
 
@@ -35,7 +35,7 @@
         """Nothing waits."""
 
 
-def _make_news(reply: bytes) -> News:
+def _make_news(reply: bytes) -> PeerSync:
     """Make a node whose peers all tell the same."""
 
     async def dial(*_: Any) -> Any:
@@ -45,16 +45,16 @@
 
     clock = BootClock()
     startup = make_startup(1)._replace(name=_NAMES[-1])
-    news = News(LineLog('node', clock, len), clock, startup, dial)
-    news.know(
+    peer_sync = PeerSync(LineLog('node', clock, len), clock, startup, dial)
+    peer_sync.update_nodes(
         NodeEntry(name, 'zone-a', f'{name}:1', 100 if name == _NAMES[0] else 10)
         for name in _NAMES
     )
-    return news
+    return peer_sync
 
 
-async def _ask(news: News) -> Any:
-    return await news.ask('servers', 5, 0.1, oldest=2, alone=False)
+async def _ask(peer_sync: PeerSync) -> Any:
+    return await peer_sync.request_changes('servers', 5, 0.1, max_age=2, cut_off=False)
 
 
 async def test_sound_reply_is_heard() -> None:
@@ -74,24 +74,24 @@
         Question('servers', 7, 0),
     ],
 )
-async def test_nonsense_costs_a_line_and_a_detour(reply: Any) -> None:
-    news = _make_news(encode(reply))
-    assert await _ask(news) is None
-    assert news.log.counts['watcher-left'] == 1
+async def test_malformed_reply_is_logged_peer_abandoned(reply: Any) -> None:
+    peer_sync = _make_news(encode(reply))
+    assert await _ask(peer_sync) is None
+    assert peer_sync.log.counts['watcher-left'] == 1
 
 
 async def test_stranger_leaves_no_memory_behind() -> None:
     """Something asks for a thousand kinds of object that nobody follows."""
-    news = _make_news(b'')
+    peer_sync = _make_news(b'')
     reader = asyncio.StreamReader()
     for number in range(1000):
         reader.feed_data(encode(Question(f'kind-{number}', 0, 0)))
     reader.feed_eof()
     written: list[bytes] = []
-    await news.server.serve(reader, _Writer(written))  # type: ignore[arg-type]
+    await peer_sync.server.serve(reader, _Writer(written))  # type: ignore[arg-type]
     answers = asyncio.StreamReader()
     answers.feed_data(b''.join(written))
     first = msgspec.msgpack.decode(await read_body(answers), type=Reply)
     assert len(written) == 1000
     assert not first.covered
-    assert not news._memories
+    assert not peer_sync._memories
--- a/tests/node/news/test_memory.py
+++ b/tests/node/peer_sync/test_watch_cache.py
@@ -3,18 +3,18 @@
 import asyncio
 import random
 
-from ryelatch_node.news._frames import Change, unpack
-from ryelatch_node.news._memory import MOST_PACKED, Heard, Memory
+from ryelatch_node.peer_sync._frames import Change, unpack
+from ryelatch_node.peer_sync._watch_cache import MOST_PACKED, StoreUpdate, Memory
 
 _CHANGE = Change(b'{}', False)
 
 
 def _make_memory() -> Memory:
     memory = Memory()
-    memory.restart(Heard(10, 1), {})
-    memory.note(Heard(12, 2, (_CHANGE,)))
-    memory.note(Heard(15, 3, (_CHANGE, _CHANGE)))
-    memory.note(Heard(15, 4))
+    memory.restart(StoreUpdate(10, 1), {})
+    memory.note(StoreUpdate(12, 2, (_CHANGE,)))
+    memory.note(StoreUpdate(15, 3, (_CHANGE, _CHANGE)))
+    memory.note(StoreUpdate(15, 4))
     return memory
 
 
@@ -36,7 +36,7 @@
 def test_changes_before_a_new_list_are_not_told() -> None:
     """The store lost its history; what changed meanwhile is in no watch."""
     memory = _make_memory()
-    memory.restart(Heard(20, 5), {})
+    memory.restart(StoreUpdate(20, 5), {})
     assert not memory.tell(15, 6, 7).covered
     assert memory.tell(20, 6, 7).covered
 
@@ -54,7 +54,7 @@
     """Thirty nodes would each be sent 100 kB a few times a second."""
     memory = _make_memory()
     content = random.Random(1).randbytes(MOST_PACKED + 1)
-    memory.note(Heard(17, 5, (Change(content, False),)))
+    memory.note(StoreUpdate(17, 5, (Change(content, False),)))
     assert not memory.tell(15, 6, 7).covered
     assert memory.tell(15, 6, 7, whole=True).covered
 
@@ -65,6 +65,6 @@
     waiting = asyncio.create_task(memory.wait(15, 5, 10))
     await asyncio.sleep(0)
     assert not waiting.done()
-    memory.note(Heard(15, 6))
+    memory.note(StoreUpdate(15, 6))
     async with asyncio.timeout(1):
         await waiting
--- a/tests/node/duty/test_placement.py
+++ b/tests/node/placement/test_placement.py
@@ -12,7 +12,7 @@
 from ryelatch_node.ports import (
     LeaseRecord,
     LeaseStore,
-    OrderResult,
+    CommandResult,
 )
 
 
@@ -31,9 +31,9 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(2)
-    assert len(platform.orders) == 1
+    assert len(platform.commands) == 1
     assert platform.record.lease is not None
     assert platform.record.lease.fence == 1
 
@@ -52,8 +52,8 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders, 5)
-    assert platform.orders[0][2] == 8
+        await wait_until(lambda: platform.commands, 5)
+    assert platform.commands[0][2] == 8
 
 
 async def test_fenced_node_orders_no_more() -> None:
@@ -61,7 +61,7 @@
 
     Another node is at work. Ordering on would be refused each time.
     """
-    platform = FakePlatform(result=OrderResult.FENCED)
+    platform = FakePlatform(result=CommandResult.FENCED)
     async with run_nodes(platform, 1):
         platform.list_replicas(
             [
@@ -69,9 +69,9 @@
                 make_replica('m-1', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.4)
-        assert len(platform.orders) == 1
+        assert len(platform.commands) == 1
 
 
 async def test_unwritten_lease_gives_no_orders() -> None:
@@ -85,7 +85,7 @@
             ]
         )
         await asyncio.sleep(1.5)
-    assert not platform.orders
+    assert not platform.commands
 
 
 async def test_busy_replica_is_left_alone() -> None:
@@ -93,7 +93,7 @@
 
     Asked again at once it refuses again, each time at a price.
     """
-    platform = FakePlatform(result=OrderResult.CONFLICT)
+    platform = FakePlatform(result=CommandResult.CONFLICT)
     async with run_nodes(platform, 1):
         platform.list_replicas(
             [
@@ -101,9 +101,9 @@
                 make_replica('m-1', LayerRange(4, 7)),
             ]
         )
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.7)
-        assert len(platform.orders) <= 2
+        assert len(platform.commands) <= 2
 
 
 async def test_number_of_another_holder_is_not_used() -> None:
@@ -114,7 +114,7 @@
     """
     platform = FakePlatform()
     async with run_nodes(platform, 1):
-        duty = platform.duties[0]
+        duty = platform.controllers[0]
         await wait_until(lambda: duty.lease.holder)
         write = platform.write
 
@@ -123,7 +123,7 @@
         ) -> LeaseRecord | None:
             written = await write(lease, revision)
             other = LeaseRecord(Lease('other', 9), revision + 2, revision + 1)
-            asyncio.get_running_loop().call_soon(duty.lease.follow, other)
+            asyncio.get_running_loop().call_soon(duty.lease.apply_record, other)
             return written
 
         duty.lease.store = LeaseStore(write_and_lose)
@@ -134,7 +134,7 @@
             ]
         )
         await asyncio.sleep(1)
-    assert 9 not in {fence for _, _, fence in platform.orders}
+    assert 9 not in {fence for _, _, fence in platform.commands}
 
 
 async def test_steady_fleet_is_planned_once(
@@ -147,7 +147,7 @@
         plans.append(known)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 1):
         platform.list_replicas([make_replica('m-0', LayerRange(0, 8))])
@@ -181,8 +181,8 @@
             )
             platform.list_replicas([*held, changing])
             await asyncio.sleep(0.5)
-        assert not platform.orders
-        await wait_until(lambda: platform.orders)
+        assert not platform.commands
+        await wait_until(lambda: platform.commands)
 
 
 async def test_replica_that_waits_is_not_ordered_again() -> None:
@@ -200,11 +200,11 @@
                 make_replica('m-2', None),
             ]
         )
-        await wait_until(lambda: platform.orders)
-        first = list(platform.orders)
+        await wait_until(lambda: platform.commands)
+        first = list(platform.commands)
         # Longer than a load may take before it is given up.
         await asyncio.sleep(4)
-        assert platform.orders == first
+        assert platform.commands == first
 
 
 async def test_holder_that_knew_first_is_left_alone() -> None:
@@ -217,13 +217,13 @@
     platform = FakePlatform(load_seconds=2.5)
     gap = [make_replica('m-0', LayerRange(0, 4)), make_replica('m-1', None)]
     async with run_nodes(platform, 2):
-        first, second = platform.duties
+        first, second = platform.controllers
         second.replicas.replace([], unanswered=NEVER)
         first.replicas.replace(gap, unanswered=NEVER)
         first.wake(None)  # type: ignore[arg-type]
-        await wait_until(lambda: platform.orders)
+        await wait_until(lambda: platform.commands)
         await asyncio.sleep(0.2)
         second.replicas.replace(gap, unanswered=NEVER)
         second.wake(None)  # type: ignore[arg-type]
         await asyncio.sleep(1.8)
-        assert {node for node, _, _ in platform.orders} == {'node-0'}
+        assert {node for node, _, _ in platform.commands} == {'node-0'}
--- a/tests/node/duty/test_turns.py
+++ b/tests/node/placement/test_turns.py
@@ -8,7 +8,7 @@
 from fleet.running import wait_until
 from ryelatch_core.fleet import LayerRange
 from ryelatch_core.membership import Lease
-from ryelatch_node.duty._lease import (
+from ryelatch_node.placement._lease import (
     LONGEST_SPREAD_SECONDS,
     TAKE_SPREAD_SECONDS,
 )
@@ -32,7 +32,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform(record=LeaseRecord(Lease('node-0', 1), 1))
     async with run_nodes(platform, 12):
         for number in range(10):
@@ -60,7 +60,7 @@
         planned.append(alive)
         return ()
 
-    monkeypatch.setattr('ryelatch_node.duty._service.plan_moves', count)
+    monkeypatch.setattr('ryelatch_node.placement._service.plan_moves', count)
     platform = FakePlatform()
     async with run_nodes(platform, 12):
         platform.list_replicas([make_replica('m-0', None)])
@@ -76,15 +76,15 @@
     """
     platform = FakePlatform(record=LeaseRecord(Lease('gone', 7), 3))
     async with run_nodes(platform, 1):
-        platform.duties[0].lease.spread = 0
+        platform.controllers[0].lease.spread = 0
         platform.list_replicas(
             [
                 make_replica('m-0', LayerRange(0, 8)),
                 *(make_replica(f'm-{one}', None) for one in (1, 2, 3)),
             ]
         )
-        await wait_until(lambda: platform.orders, 8)
-    assert platform.orders[0][2] == 8
+        await wait_until(lambda: platform.commands, 8)
+    assert platform.commands[0][2] == 8
 
 
 def test_claims_stay_rare_in_large_fleets() -> None:
@@ -98,7 +98,7 @@
     for draw in draws:
         duty = platform.add_node(f'node-{draw}', TAKE_SPREAD_SECONDS * draw)
         duty.lease.nodes = len(draws)
-    waits = [duty.lease.patience for duty in platform.duties]
+    waits = [duty.lease.patience for duty in platform.controllers]
     early = [wait for wait in waits if wait < TAKE_SPREAD_SECONDS / 6]
     assert len(early) <= 4
     assert max(waits) <= LONGEST_SPREAD_SECONDS
--- a/tests/node/relay/test_lag.py
+++ b/tests/node/relay/test_lag.py
@@ -10,8 +10,8 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.ports import Reach, Report
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.ports import Reachability, Report
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST
 from ryelatch_node.relay._watch import StreamWatch
 from virtual.loop import VirtualClock, VirtualLoop, run
@@ -44,11 +44,11 @@
         await asyncio.sleep(answers_after)
         return Report(sequence=0, busy=False, used=0, stalled={})
 
-    async def reach(_: Replica) -> Reach:
+    async def reach(_: Replica) -> Reachability:
         await asyncio.sleep(0.001)
-        return Reach.LISTENS
+        return Reachability.LISTENS
 
-    async def take(_: Replica) -> bool:
+    async def acquire_permit(_: Replica) -> bool:
         return True
 
     clock = VirtualClock()
@@ -59,9 +59,9 @@
         clock=clock,
         log=log,
         replicas=view,
-        orders=SimpleNamespace(read_report=read_report, reach=reach),
+        commands=SimpleNamespace(read_report=read_report, reach=reach),
         budget=SimpleNamespace(left=0),
-        throttle=SimpleNamespace(take=take),
+        throttle=SimpleNamespace(acquire_permit=acquire_permit),
         paces=SimpleNamespace(
             check=lambda _: None, stop=lambda: asyncio.sleep(0)
         ),
--- a/tests/node/relay/test_evacuation.py
+++ b/tests/node/relay/test_migration_planner.py
@@ -10,8 +10,8 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.relay._evacuation import LEAVING_SECONDS, MigrationPlanner
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.relay._migration_planner import LEAVING_SECONDS, MigrationPlanner
 from ryelatch_node.relay._stream import LiveStream
 
 
@@ -44,10 +44,10 @@
         compute_departure_bounds(2, 3),
     )
     view.put(_make('m-1'))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     clock.now += delay
     view.put(_make('m-1', leaving=True))
-    view.known.confirm(clock.now)
+    view.freshness.confirm(clock.now)
     path = tuple(
         Stage(_make(name), LayerRange(0, 4)) for name in ('m-0', 'm-1')
     )
--- a/tests/node/relay/test_silence.py
+++ b/tests/node/relay/test_path_checks.py
@@ -13,9 +13,9 @@
 from ryelatch_core.fleet import LayerRange, Replica, Stage
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.ports import Reach
-from ryelatch_node.relay._silence import (
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.ports import Reachability
+from ryelatch_node.relay._path_checks import (
     CONNECT_SECONDS,
     COOLDOWN_SECONDS,
     MAX_THRESHOLD_FACTOR,
@@ -42,14 +42,14 @@
     for number in range(4)
 )
 
-_Connect = Callable[[str, int], tuple[float, Reach]]
+_Connect = Callable[[str, int], tuple[float, Reachability]]
 """Returns the duration and the result of the nth connection to a replica."""
 
 
 def _make_checks(answer: _Connect) -> tuple[PathChecks, ReplicaView]:
     tries: Counter[str] = Counter()
 
-    async def reach(replica: Replica) -> Reach:
+    async def reach(replica: Replica) -> Reachability:
         tries[replica.name] += 1
         seconds, found = answer(replica.name, tries[replica.name])
         await asyncio.sleep(seconds)
@@ -67,7 +67,7 @@
         clock=clock,
         log=log,
         replicas=view,
-        orders=SimpleNamespace(reach=reach),
+        commands=SimpleNamespace(reach=reach),
     )
     return PathChecks(context), view
 
@@ -98,9 +98,9 @@
 def test_silent_replica_is_found_at_once() -> None:
     """A replica that doesn't respond is found before clients give up."""
 
-    def answer(name: str, _: int) -> tuple[float, Reach]:
+    def answer(name: str, _: int) -> tuple[float, Reachability]:
         gone = name == 'm-2'
-        return (_NEVER if gone else _REACHED_SECONDS), Reach.LISTENS
+        return (_NEVER if gone else _REACHED_SECONDS), Reachability.LISTENS
 
     assert _play(answer) == {'m-2'}
 
@@ -108,23 +108,23 @@
 def test_ended_replica_is_found_at_once() -> None:
     """The process of a replica has crashed; its address refuses connections."""
 
-    def answer(name: str, _: int) -> tuple[float, Reach]:
+    def answer(name: str, _: int) -> tuple[float, Reachability]:
         ended = name == 'm-1'
-        return _REACHED_SECONDS, Reach.REFUSED if ended else Reach.LISTENS
+        return _REACHED_SECONDS, Reachability.REFUSED if ended else Reachability.LISTENS
 
     assert _play(answer) == {'m-1'}
 
 
 def test_cut_off_node_blames_nobody() -> None:
     """A node that reaches no replica at all is cut off itself."""
-    assert not _play(lambda *_: (_NEVER, Reach.LISTENS))
+    assert not _play(lambda *_: (_NEVER, Reachability.LISTENS))
 
 
 def test_lost_packet_is_no_loss() -> None:
     """The first connection to each replica hangs, but the second succeeds."""
 
-    def answer(_: str, number: int) -> tuple[float, Reach]:
-        return (_NEVER if number == 1 else _REACHED_SECONDS), Reach.LISTENS
+    def answer(_: str, number: int) -> tuple[float, Reachability]:
+        return (_NEVER if number == 1 else _REACHED_SECONDS), Reachability.LISTENS
 
     assert not _play(answer)
 
@@ -132,9 +132,9 @@
 def test_late_reading_of_tries_is_no_loss() -> None:
     """A node without processor time reads most results after their timeout."""
 
-    def answer(name: str, _: int) -> tuple[float, Reach]:
+    def answer(name: str, _: int) -> tuple[float, Reachability]:
         soon = _REACHED_SECONDS / 4
-        return (soon if name == 'm-0' else _REACHED_SECONDS), Reach.LISTENS
+        return (soon if name == 'm-0' else _REACHED_SECONDS), Reachability.LISTENS
 
     assert not _play(answer, late=CONNECT_SECONDS * 3)
 
@@ -146,7 +146,7 @@
     """
 
     async def play() -> None:
-        checks, _ = _make_checks(lambda *_: (0.001, Reach.LISTENS))
+        checks, _ = _make_checks(lambda *_: (0.001, Reachability.LISTENS))
         assert checks.threshold_factor < _NEARLY_ONE
         for _ in range(10):
             checks.check(_STAGES)
@@ -162,9 +162,9 @@
     """Sixty streams stall at the same time and share the checks."""
     tried: list[str] = []
 
-    def answer(name: str, _: int) -> tuple[float, Reach]:
+    def answer(name: str, _: int) -> tuple[float, Reachability]:
         tried.append(name)
-        return _REACHED_SECONDS, Reach.LISTENS
+        return _REACHED_SECONDS, Reachability.LISTENS
 
     async def play() -> None:
         checks, _ = _make_checks(answer)
--- a/tests/node/relay/test_slow_replicas.py
+++ b/tests/node/relay/test_slow_replicas.py
@@ -35,16 +35,16 @@
         await asyncio.sleep(
             REPORT_TIMEOUT_SECONDS * 2 if replica.name == 'm-60' else 0
         )
-        pace = _SLOW if replica.name == 'm-20' else 1
-        return Report(sequence=0, busy=False, used=0, stalled={}, pace=pace)
+        step_factor = _SLOW if replica.name == 'm-20' else 1
+        return Report(sequence=0, busy=False, used=0, stalled={}, step_factor=step_factor)
 
 
 def _make_checks() -> tuple[SlowReplicaChecks, _Orders]:
     clock = VirtualClock()
-    orders: Any = _Orders()
+    commands: Any = _Orders()
     return SlowReplicaChecks(
-        LineLog('node-a', clock, len), clock, orders
-    ), orders
+        LineLog('node-a', clock, len), clock, commands
+    ), commands
 
 
 def test_slow_replica_of_a_late_path_is_found() -> None:
@@ -66,14 +66,14 @@
     """Sixty streams are late at once, and stay late."""
 
     async def play() -> None:
-        checks, orders = _make_checks()
+        checks, commands = _make_checks()
         for _ in range(60):
             checks.check(_PATH)
         await asyncio.sleep(COOLDOWN_SECONDS * 1.1)
-        assert len(orders.requested) == len(_PATH)
+        assert len(commands.requested) == len(_PATH)
         checks.check(_PATH)
         await asyncio.sleep(COOLDOWN_SECONDS / 2)
-        assert len(orders.requested) == 2 * len(_PATH)
+        assert len(commands.requested) == 2 * len(_PATH)
         await checks.stop()
 
     run(play())
--- a/tests/node/throttle/test_throttle.py
+++ b/tests/node/throttle/test_throttle.py
@@ -8,10 +8,10 @@
 
 from ryelatch_core.membership import NodeEntry
 from ryelatch_core.throttle import rank_limiters
-from ryelatch_node.news import PermitQuestion
-from ryelatch_node.throttle._lines import ASK_SECONDS
+from ryelatch_node.peer_sync import PermitRequest
+from ryelatch_node.throttle._permit_client import ASK_SECONDS
 from virtual.loop import run
-from virtual.throttles import REPLICA, ThrottledFleet, make_terms
+from virtual.throttles import REPLICA, ThrottledFleet, make_metadata
 
 _SPAN = 4.0
 
@@ -36,7 +36,7 @@
 async def _tell_all(fleet: ThrottledFleet) -> None:
     """Let each node hear the limit once."""
     for throttle in fleet.nodes.values():
-        throttle.note_answer(REPLICA, make_terms(fleet.limit))
+        throttle.record_answer(REPLICA, make_metadata(fleet.limit))
 
 
 @pytest.mark.parametrize('limit', [0, 0.5, 1, 4.2, 40])
@@ -49,8 +49,8 @@
         names = _name_nodes(nodes)
         fleet.start(names)
         await _tell_all(fleet)
-        await fleet.press(names, 12, gap=0.002)
-        assert fleet.count_most(0, _SPAN) <= _allow(limit)
+        await fleet.send_in_turn(names, 12, gap=0.002)
+        assert fleet.count_max(0, _SPAN) <= _allow(limit)
         assert len(fleet.sent) >= 0.6 * limit * 12
         assert fleet.sent
         await fleet.stop()
@@ -67,10 +67,10 @@
         fleet.start(names)
         first = _rank(names)[0]
         older = [name for name in names if name != first]
-        fleet.know(older[:4], older)
+        fleet.update_nodes(older[:4], older)
         await _tell_all(fleet)
-        await fleet.press(names, 12, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        await fleet.send_in_turn(names, 12, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         await fleet.stop()
 
     run(main())
@@ -86,13 +86,13 @@
         await _tell_all(fleet)
         first = _rank(names)[0]
         living = [name for name in names if name != first]
-        await fleet.press(names, 6, gap=0.005)
-        fleet.dark.add(first)
+        await fleet.send_in_turn(names, 6, gap=0.005)
+        fleet.unreachable.add(first)
         for throttle in fleet.nodes.values():
             throttle.lines.stop()
         lost = _now()
-        await fleet.press(living, 10, gap=0.005)
-        assert fleet.count_most(0, _SPAN) <= _allow(4.2)
+        await fleet.send_in_turn(living, 10, gap=0.005)
+        assert fleet.count_max(0, _SPAN) <= _allow(4.2)
         after = [at for at, _ in fleet.sent if at > lost + 2]
         assert len(after) >= 0.6 * 4.2 * 8
         await fleet.stop()
@@ -109,13 +109,13 @@
         fleet.start(names)
         await _tell_all(fleet)
         ranked = _rank(names)
-        fleet.dark.update(ranked[:2])
+        fleet.unreachable.update(ranked[:2])
         asker = fleet.nodes[ranked[5]]
         began = _now()
-        assert not await asker.take(REPLICA)
+        assert not await asker.acquire_permit(REPLICA)
         assert _now() - began <= 2 * ASK_SECONDS + 0.01
         began = _now()
-        assert await asker.take(REPLICA)
+        assert await asker.acquire_permit(REPLICA)
         assert _now() - began < ASK_SECONDS / 2
         await fleet.stop()
 
@@ -130,9 +130,9 @@
         names = _name_nodes(60)
         fleet.start(names)
         await _tell_all(fleet)
-        await fleet.press(names, 5, gap=0.01)
+        await fleet.send_in_turn(names, 5, gap=0.01)
         fleet.limit = None
-        await fleet.press(names, 3, gap=0.01)
+        await fleet.send_in_turn(names, 3, gap=0.01)
         limited = [
             name
             for name, throttle in fleet.nodes.items()
@@ -144,7 +144,7 @@
     run(main())
 
 
-def test_late_word_of_a_limit_brings_it_not_back() -> None:
+def test_outdated_report_does_not_restore_a_limit() -> None:
     """A peer that heard of a limit before its end limits the others anew."""
 
     async def main() -> None:
@@ -152,11 +152,11 @@
         names = _name_nodes(2)
         fleet.start(names)
         limiter = fleet.nodes[_rank(names)[0]]
-        limiter.note_answer(REPLICA, make_terms(4.2))
+        limiter.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        limiter.note_answer(REPLICA, make_terms(None))
+        limiter.record_answer(REPLICA, make_metadata(None))
         await asyncio.sleep(1)
-        reply = limiter.limiter.answer(PermitQuestion(REPLICA.name, 4.2, 1.5))
+        reply = limiter.limiter.answer(PermitRequest(REPLICA.name, 4.2, 1.5))
         assert reply.granted
         assert reply.limit is None
         assert not limiter.is_limited(REPLICA.name)
@@ -172,15 +172,15 @@
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.nan, 0))
-        node.limiter.answer(PermitQuestion(REPLICA.name, math.inf, 0))
+        node.limiter.answer(PermitRequest(REPLICA.name, math.nan, 0))
+        node.limiter.answer(PermitRequest(REPLICA.name, math.inf, 0))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
     run(main())
 
 
-def test_limiter_that_lists_no_replica_counts() -> None:
+def test_limiter_counts_without_listed_replica() -> None:
     """A node that hears of a replica late grants anew each half second."""
 
     async def main() -> None:
@@ -190,26 +190,26 @@
         await _tell_all(fleet)
         limiter = fleet.nodes[_rank(names)[0]]
         for _ in range(24):
-            await fleet.press(names, 0.5, gap=0.01)
+            await fleet.send_in_turn(names, 0.5, gap=0.01)
             limiter.keep(())
-        assert fleet.count_most(0, _SPAN) <= _allow(0)
+        assert fleet.count_max(0, _SPAN) <= _allow(0)
         await fleet.stop()
 
     run(main())
 
 
-def test_refusal_without_a_word_ends_no_limit() -> None:
+def test_unsigned_refusal_ends_no_limit() -> None:
     """A replica in need refuses one request, and all nodes send as before."""
 
     async def main() -> None:
         fleet = ThrottledFleet(4.2)
         fleet.start(_name_nodes(2))
         node = fleet.nodes['node-0000']
-        node.note_answer(REPLICA, make_terms(4.2))
+        node.record_answer(REPLICA, make_metadata(4.2))
         await asyncio.sleep(1)
-        node.note_answer(REPLICA, make_terms(None, signed=False))
+        node.record_answer(REPLICA, make_metadata(None, signed=False))
         assert node.is_limited(REPLICA.name)
-        node.note_answer(REPLICA, make_terms(None))
+        node.record_answer(REPLICA, make_metadata(None))
         assert not node.is_limited(REPLICA.name)
         await fleet.stop()
 
@@ -225,9 +225,9 @@
         fleet.start(names)
         await _tell_all(fleet)
         gone = _rank(names)[:2]
-        fleet.dark.update(gone)
+        fleet.unreachable.update(gone)
         living = [name for name in names if name not in gone]
-        await fleet.press(living, 30, gap=0.01)
+        await fleet.send_in_turn(living, 30, gap=0.01)
         assert len(fleet.sent) >= 0.5 * 4.2 * 30
         asked = [line for line in fleet.lines if line['name'] == 'limiter-left']
         assert len(asked) <= len(living) * len(gone) * 5
@@ -246,7 +246,7 @@
         await _tell_all(fleet)
         asker = fleet.nodes[_rank(names)[3]]
         granted = await asyncio.gather(
-            *(asker.take(REPLICA) for _ in range(100))
+            *(asker.acquire_permit(REPLICA) for _ in range(100))
         )
         assert 1 <= sum(granted) <= 4
         assert not any(line['name'] == 'limiter-left' for line in fleet.lines)
--- a/tests/node/beliefs/test_lives.py
+++ b/tests/node/views/test_incarnations.py
@@ -7,7 +7,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 _HELD = LayerRange(0, 8)
 
@@ -20,19 +20,19 @@
 
 def _make(
     entry: str = 'i-1',
-    born: int = 0,
+    started_at: int = 0,
     layers: LayerRange | None = _HELD,
     address: str = '10.0.0.1:80',
 ) -> Replica:
     return Replica(
-        name_incarnation(entry, born),
+        name_incarnation(entry, started_at),
         'model',
         address,
         'zone-a',
         'big',
         layers,
         entry=entry,
-        born=born,
+        started_at=started_at,
     )
 
 
@@ -43,11 +43,11 @@
     would keep work and orders from the later one for seconds.
     """
     view, _ = _make_view()
-    first = _make(born=1000)
+    first = _make(started_at=1000)
     view.put(first)
     view.suspect(first, 'no report', full=False)
-    view.put(_make(born=2000, layers=None))
-    assert [one.born for one in view.list_alive('model')] == [2000]
+    view.put(_make(started_at=2000, layers=None))
+    assert [one.started_at for one in view.list_reachable('model')] == [2000]
     assert first.name in view.list_unreachable()
 
 
@@ -57,9 +57,9 @@
     Taken for new, layers that nobody holds would get requests again.
     """
     view, _ = _make_view()
-    view.put(_make(born=2000, layers=None))
-    view.put(_make(born=1000))
-    view.replace([_make(born=1000)], unanswered=NEVER)
+    view.put(_make(started_at=2000, layers=None))
+    view.put(_make(started_at=1000))
+    view.replace([_make(started_at=1000)], unanswered=NEVER)
     assert [one.layers for one in view.replicas.values()] == [None]
 
 
@@ -104,12 +104,12 @@
     """
     view, clock = _make_view()
     view.put(_make())
-    view.learn(view.replicas['i-1'], None, 0)
+    view.apply_report(view.replicas['i-1'], None, 0)
     view.put(_make())
     assert view.replicas['i-1'].layers is None
     clock.now += 5
-    view.known.confirm(clock.now - 1)
-    view.drop_lapsed()
+    view.freshness.confirm(clock.now - 1)
+    view.drop_expired()
     assert view.replicas['i-1'].layers == _HELD
 
 
@@ -122,33 +122,33 @@
     view, clock = _make_view()
     view.put(_make(layers=LayerRange(0, 4)))
     view.put(_make())
-    view.known.confirm(clock.now - 0.1)
-    view.learn(view.replicas['i-1'], None, 0)
+    view.freshness.confirm(clock.now - 0.1)
+    view.apply_report(view.replicas['i-1'], None, 0)
     clock.now += 3
     view.put(_make())
-    view.drop_lapsed()
+    view.drop_expired()
     assert view.replicas['i-1'].layers is None
-    view.known.confirm(clock.now)
-    view.drop_lapsed()
+    view.freshness.confirm(clock.now)
+    view.drop_expired()
     assert view.replicas['i-1'].layers == _HELD
 
 
 def test_report_of_a_later_life_makes_it_known() -> None:
     """A report tells that a replica started again before its entry does."""
     view, _ = _make_view()
-    view.put(_make(born=1000))
+    view.put(_make(started_at=1000))
     known = next(iter(view.replicas.values()))
-    view.learn(known, None, 2000)
-    view.put(_make(born=1000))
-    assert [one.born for one in view.replicas.values()] == [2000]
+    view.apply_report(known, None, 2000)
+    view.put(_make(started_at=1000))
+    assert [one.started_at for one in view.replicas.values()] == [2000]
 
 
 def test_late_report_of_before_is_ignored() -> None:
     """A report comes late: the replica has started again meanwhile."""
     view, _ = _make_view()
-    view.put(_make(born=2000, layers=None))
+    view.put(_make(started_at=2000, layers=None))
     known = next(iter(view.replicas.values()))
-    view.learn(known, _HELD, 1000)
+    view.apply_report(known, _HELD, 1000)
     assert [one.layers for one in view.replicas.values()] == [None]
 
 
--- a/tests/node/beliefs/test_missing.py
+++ b/tests/node/views/test_missing.py
@@ -10,7 +10,7 @@
 from ryelatch_core.fleet import LayerRange, Replica, name_incarnation
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 def _make_view() -> tuple[ReplicaView, FakeClock, Callable[[], list[str]]]:
@@ -48,7 +48,7 @@
     """
     view, clock, offer = _make_view()
     view.remove('i-1', unanswered=99)
-    clock.now = 99 + view.known.terms.retention - 0.01
+    clock.now = 99 + view.freshness.bounds.retention - 0.01
     assert offer() == ['i-1', 'i-2']
     clock.now += 0.02
     assert offer() == ['i-2']
@@ -82,7 +82,7 @@
     clock.now = 101.5
     view.replace([_make('i-2')], unanswered=101.4)
     assert offer() == ['i-1', 'i-2']
-    clock.now = 100 + view.known.terms.retention
+    clock.now = 100 + view.freshness.bounds.retention
     view.replace([_make('i-2')], unanswered=102.2)
     assert offer() == ['i-2']
 
@@ -94,11 +94,11 @@
     assert view.find_missing(['i-1', 'i-2']) == pytest.approx(1.5)
     view.put(_make('i-1'))
     clock.now = 110
-    view.drop_lapsed()
+    view.drop_expired()
     assert offer() == ['i-1', 'i-2']
 
 
-def test_report_is_no_entry() -> None:
+def test_report_does_not_count_as_entry() -> None:
     """A replica left without a word, and answers reports while it ends.
 
     What it said of itself was taken for its entry's return. It stayed in use
@@ -106,20 +106,20 @@
     """
     view, clock, offer = _make_view()
     view.remove('i-1', unanswered=99.9)
-    view.learn(view.replicas['i-1'], LayerRange(0, 4), 0)
+    view.apply_report(view.replicas['i-1'], LayerRange(0, 4), 0)
     clock.now += 5
     assert offer() == ['i-2']
 
 
-def test_report_of_a_later_life_is_no_entry() -> None:
+def test_later_incarnations_report_is_no_entry() -> None:
     """A replica whose entry is missing starts again, and its report says so."""
     view, clock, offer = _make_view()
     view.remove('i-1', unanswered=99.9)
-    view.learn(view.replicas['i-1'], None, 2000)
+    view.apply_report(view.replicas['i-1'], None, 2000)
     assert offer() == ['i-2', name_incarnation('i-1', 2000)]
     clock.now += 5
     assert offer() == ['i-2']
-    view.drop_lapsed()
+    view.drop_expired()
     assert list(view.replicas) == ['i-2']
 
 
@@ -127,12 +127,12 @@
     """An entry that its replica denied waits, and goes while it does."""
     view, clock, offer = _make_view()
     view.put(replace(_make('i-1'), layers=LayerRange(0, 4)))
-    view.learn(view.replicas['i-1'], None, 0)
+    view.apply_report(view.replicas['i-1'], None, 0)
     view.put(replace(_make('i-1'), layers=LayerRange(0, 4)))
     view.remove('i-1', unanswered=99.9)
     clock.now += 1.5
-    view.known.confirm(clock.now)
-    view.drop_lapsed()
+    view.freshness.confirm(clock.now)
+    view.drop_expired()
     clock.now += 5
     assert offer() == ['i-2']
 
@@ -140,9 +140,9 @@
 def test_leaving_is_dated_by_earlier_knowledge() -> None:
     """A node hears late that a replica leaves; its streams have less time."""
     view, clock, _ = _make_view()
-    view.known.confirm(100)
+    view.freshness.confirm(100)
     clock.now = 101.2
     view.put(_make('i-1', leaving=True))
-    view.known.confirm(101.2)
+    view.freshness.confirm(101.2)
     assert view.find_leaving_since('i-1') == 100
     assert view.find_leaving_since('i-2') is None
--- a/tests/node/beliefs/test_roster.py
+++ b/tests/node/views/test_replica_index.py
@@ -9,7 +9,7 @@
 from ryelatch_core.fleet import Replica
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 _CHANGES = 20
 _MORE = 1.5
--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fleet.running import RunningNode, ask, make_model, make_plain, run_node
+from fleet.running import RunningNode, ask, make_model_replicas, make_non_model_replicas, run_node
 
 _REST_SECONDS = 3.0
 _ROUNDING = 0.01
@@ -12,9 +12,9 @@
 _PAUSE_SECONDS = 0.05
 
 
-async def test_lines_tell_that_a_rest_was_asked_for() -> None:
+async def test_requested_backoff_is_logged() -> None:
     """Nothing at a node shows for how long a replica turned it away."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     for replica in replicas:
         replica.refuse = 503
         replica.says = {'Retry-After': f'{_REST_SECONDS}'}
@@ -24,8 +24,8 @@
         assert not node.count('backoff-unreadable')
 
 
-async def test_lines_tell_that_a_rest_is_unreadable() -> None:
-    replica = make_plain(1)[0]
+async def test_unreadable_backoff_is_logged() -> None:
+    replica = make_non_model_replicas(1)[0]
     replica.refuse = 503
     replica.says = {'Retry-After': 'soon'}
     async with run_node([replica]) as node:
@@ -48,10 +48,10 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_resting_replica_is_left_alone(path: str) -> None:
+async def test_replica_in_backoff_gets_few_requests(path: str) -> None:
     """A replica that asked for seconds of rest gets a request each 0.3 s."""
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
+    replicas = make_model_replicas(*[(0, 8)] * 3) if streams else make_non_model_replicas(3)
     resting = replicas[0]
     resting.refuse = 503
     resting.says = {'Retry-After': f'{_REST_SECONDS}'}
@@ -69,10 +69,10 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x', '/book/x'])
-async def test_all_at_rest_are_refused_until_the_first(path: str) -> None:
+async def test_clients_retry_after_the_first_backoff(path: str) -> None:
     """A client is told to come back while all replicas still rest."""
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 2) if streams else make_plain(2)
+    replicas = make_model_replicas(*[(0, 8)] * 2) if streams else make_non_model_replicas(2)
     for number, replica in enumerate(replicas):
         replica.refuse = 503
         replica.says = {'Retry-After': f'{_REST_SECONDS + number}'}
@@ -91,9 +91,9 @@
         assert all(len(one.refusals) <= 2 for one in replicas)
 
 
-async def test_replica_at_rest_is_asked_for_no_report() -> None:
+async def test_no_report_is_requested_during_backoff() -> None:
     """A replica that wants nothing is asked how it is instead."""
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     replicas[0].refuse = 503
     replicas[0].says = {'Retry-After': f'{_REST_SECONDS}'}
     async with run_node(replicas) as node:
@@ -104,9 +104,9 @@
         assert not node.count('task-crashed')
 
 
-async def test_end_of_a_rest_is_the_end() -> None:
+async def test_replica_is_used_after_its_backoff() -> None:
     """A replica that had its rest gets no requests any more."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     replicas[0].refuse = 503
     replicas[0].says = {'Retry-After': '0.4'}
     async with run_node(replicas) as node:
--- a/tests/platform/test_beliefs.py
+++ b/tests/platform/test_beliefs.py
@@ -8,13 +8,13 @@
     RunningNode,
     ask,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     make_route,
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 def _list_lost(node: RunningNode) -> set[str]:
@@ -29,7 +29,7 @@
 
 async def test_new_configuration_is_in_force() -> None:
     """A key is taken away and another given."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
             'config', 'main', make_configuration(7, tenants=accounts)
@@ -46,7 +46,7 @@
 
     Going back would undo what operators were told is in force.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.store.put('config', 'main', make_configuration(9))
         await wait_until(lambda: node.count('configuration-applied') == 2)
         node.store.put('config', 'main', make_configuration(5, tenants=[]))
@@ -61,7 +61,7 @@
     Changes of that while come in no watch: a key taken away would be
     accepted for good, and a replica that left get work.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.store.deaf = True
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
@@ -95,7 +95,7 @@
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
         node.store.drop('servers', 'b-0')
@@ -119,7 +119,7 @@
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
         node.store.drop('servers', 'b-0')
@@ -140,7 +140,7 @@
     third of the nodes.
     """
     monkeypatch.setattr('ryelatch_platform._kinds.CONFIGURATION_WAIT', 4)
-    async with run_node(make_plain(1), revoke_seconds=6) as node:
+    async with run_node(make_non_model_replicas(1), revoke_seconds=6) as node:
         await asyncio.sleep(3.5)
         node.store.put('config', 'main', make_configuration(7))
         await wait_until(lambda: node.count('configuration-applied') == 2)
@@ -155,7 +155,7 @@
     The node can't know. After a bound it refuses keyed requests with a
     promise that they did not run, and serves again when it has caught up.
     """
-    async with run_node(make_plain(1), revoke_seconds=2.5) as node:
+    async with run_node(make_non_model_replicas(1), revoke_seconds=2.5) as node:
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
         node.store.mode = 'silent'
@@ -178,20 +178,20 @@
 
     It knows no route, but that is no proof that there is none.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         view = node.app.find('configuration', object)
         view.table = None  # type: ignore[attr-defined]
         status, _, _ = await ask(node, '/ping/x')
         assert status == 503
 
 
-async def test_unlisted_registry_is_no_repair() -> None:
+async def test_client_retries_soon_before_initial_sync() -> None:
     """A node has just started and has not listed the replicas.
 
     It knows of no layers, but none are missing: the client comes back at
     once, and not after the time of a repair.
     """
-    async with run_node(make_model((0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8))) as node:
         node.app.find('replicas', ReplicaView).listed = False
         status, body, headers = await ask(node, '/plan/x')
         assert status == 503
@@ -200,7 +200,7 @@
 
 
 async def test_leaving_replica_gets_no_new_work() -> None:
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].register('draining')
         await wait_until(lambda: node.count('replica-leaving'))
         for number in range(4):
@@ -214,7 +214,7 @@
     Dropping them at its return would leave nobody to serve. They are kept
     for as long as it takes those that live to come back.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.store.mode = 'busy'
         await wait_until(lambda: node.count('store-out'))
         node.store.drop('servers', 'b-0')
@@ -229,7 +229,7 @@
 
 
 async def test_added_route_is_served() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         routes = [make_route('ping'), make_route('extra')]
         node.store.put('config', 'main', make_configuration(2, routes=routes))
         await wait_until(lambda: node.count('configuration-applied') == 2)
@@ -239,7 +239,7 @@
 
 async def test_unreadable_configuration_is_let_be() -> None:
     """A version comes that can't be read; the one in force stays."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.store.put('config', 'main', {'version': 'seven'})
         await wait_until(lambda: node.count('configuration-refused'))
         assert 'version' in node.find('configuration-refused')['reason']
@@ -251,7 +251,7 @@
 
 async def test_empty_fleet_is_placed() -> None:
     """A first start: replicas are empty, and one node places the layers."""
-    async with run_node(make_model(None, None, None, None)) as node:
+    async with run_node(make_model_replicas(None, None, None, None)) as node:
         await wait_until(lambda: node.count('order-sent') >= 2)
         await wait_until(
             lambda: all(one.layers for one in node.replicas.values())
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -10,8 +10,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_nodes,
 )
 from standins.replica import ReplicaStandIn
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_request_that_ends_replicas_meets_few(path: str) -> None:
+async def test_crashing_request_reaches_few_replicas(path: str) -> None:
     """One request takes a service down, replica by replica.
 
     Each replica that begins to run it ends, and with it all that others had
@@ -47,7 +47,7 @@
     which eighteen replicas had ended.
     """
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 14) if streams else make_plain(14)
+    replicas = make_model_replicas(*[(0, 8)] * 14) if streams else make_non_model_replicas(14)
     async with _run_nodes(replicas) as nodes:
         senders = itertools.cycle(nodes)
         for number in range(12):
@@ -61,7 +61,7 @@
 
 async def test_resumed_stream_goes_where_its_copies_go() -> None:
     """One that ends replicas is resumed at a node that knows of no end."""
-    replicas = make_model(*[(0, 8)] * 6)
+    replicas = make_model_replicas(*[(0, 8)] * 6)
     async with _run_nodes(replicas) as nodes:
         for (number, node), letter in itertools.product(
             enumerate(nodes), 'abcdef'
--- a/tests/platform/test_departure.py
+++ b/tests/platform/test_departure.py
@@ -114,7 +114,7 @@
     run(play())
 
 
-def test_standing_still_is_no_outage() -> None:
+def test_paused_process_is_no_outage() -> None:
     """A node gets no processor time for two seconds; the store is well.
 
     The answer to its watch came in time and was read after the timeout.
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize('later', [0, 0.3, 0.6, 0.9])
-def test_leaving_while_watches_hear_nothing(later: float) -> None:
+def test_leaving_while_watches_get_no_events(later: float) -> None:
     """The store's watches are deaf for a second, then its history is gone.
 
     A replica says that it leaves meanwhile, and goes.
@@ -246,7 +246,7 @@
     async def play() -> None:
         world = World()
         await world.start(('node-a',))
-        known = world.nodes['node-a'].view.known
+        known = world.nodes['node-a'].view.freshness
         draw = random.Random(7)
         for _ in itertools.repeat(None, 300):
             await asyncio.sleep(draw.uniform(0, 0.3))
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize('bounds', _BOUNDS)
 @pytest.mark.parametrize('before', [step / 10 for step in range(12)])
 @pytest.mark.parametrize('later', [0, 0.5, 1])
-def test_leaving_while_the_watcher_is_dark(
+def test_leaving_after_power_loss_of_the_watcher(
     bounds: tuple[float, float],
     before: float,
     later: float,
@@ -417,7 +417,7 @@
 @pytest.mark.usefixtures('_sharing')
 @pytest.mark.parametrize('bounds', _BOUNDS)
 @pytest.mark.parametrize('later', [0.2, 0.9, 1.6])
-def test_trouble_of_the_watcher_keeps_nothing(
+def test_fault_of_the_watcher_keeps_no_entries(
     bounds: tuple[float, float],
     later: float,
 ) -> None:
--- a/tests/platform/test_fleet_calls.py
+++ b/tests/platform/test_fleet_calls.py
@@ -44,7 +44,7 @@
         world.store.troubles.clear()
         await asyncio.sleep(2)
         for node in world.nodes.values():
-            assert node.view.known.age < 2
+            assert node.view.freshness.age < 2
             assert node.configuration.allows_keys()
         await world.stop()
 
@@ -74,7 +74,7 @@
     run(play())
 
 
-def test_nodes_turned_away_live_on_others_word() -> None:
+def test_rejected_nodes_follow_their_peers() -> None:
     """The store turns two thirds of the followers away for twenty seconds."""
 
     async def play() -> None:
--- a/tests/platform/test_leaving_said.py
+++ b/tests/platform/test_leaving_said.py
@@ -7,8 +7,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     wait_until,
 )
@@ -35,12 +35,12 @@
 
 def _make(path: str) -> list[ReplicaStandIn]:
     if path.startswith('/plan'):
-        return make_model(*[(0, 8)] * 2)
-    return make_plain(2)
+        return make_model_replicas(*[(0, 8)] * 2)
+    return make_non_model_replicas(2)
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_replica_that_says_so_gets_no_more(path: str) -> None:
+async def test_announced_departure_stops_requests(path: str) -> None:
     """A replica that leaves gets requests until its entry tells."""
     replicas = _make(path)
     async with run_node(replicas) as node:
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
-async def test_entry_does_not_take_it_back(path: str) -> None:
+async def test_entry_does_not_cancel_a_departure(path: str) -> None:
     """An entry that is written, gone or back brings a leaver into use."""
     replicas = _make(path)
     async with run_node(replicas) as node:
@@ -67,9 +67,9 @@
         assert not replicas[0].runs
 
 
-async def test_it_holds_while_the_store_is_silent() -> None:
+async def test_departure_holds_in_a_store_outage() -> None:
     """A node that hears nothing of the store sends to a leaver."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     async with run_node(replicas) as node:
         node.store.mode = 'silent'
         await _hear(node, '/ping/x', replicas[0])
@@ -77,9 +77,9 @@
         assert not replicas[0].runs
 
 
-async def test_next_life_does_not_leave() -> None:
+async def test_restarted_replica_is_used_again() -> None:
     """A replica that started again gets nothing, as the one before left."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     replicas[0].born = 1000
     async with run_node(replicas) as node:
         await _hear(node, '/ping/x', replicas[0])
@@ -91,9 +91,9 @@
         assert replicas[0].runs
 
 
-async def test_other_words_are_no_leaving() -> None:
+async def test_invalid_leaving_header_is_ignored() -> None:
     """Nonsense in an answer takes a sound replica out of use."""
-    replicas = make_plain(1)
+    replicas = make_non_model_replicas(1)
     replicas[0].says = {'Server-Leaving': 'perhaps'}
     async with run_node(replicas) as node:
         await _ask_often(node, '/ping/x', 3)
--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -8,8 +8,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     run_nodes,
     wait_until,
@@ -22,9 +22,9 @@
 _NOTICE_SECONDS = 3.0
 
 
-async def test_lines_tell_that_a_limit_was_named() -> None:
+async def test_reported_limit_is_logged() -> None:
     """Nothing at a node shows that a replica named a limit, or took it back."""
-    replica = make_plain(1)[0]
+    replica = make_non_model_replicas(1)[0]
     replica.says = {'Server-Limit': '500'}
     async with run_node([replica]) as node:
         await ask(node, '/ping/x')
@@ -75,7 +75,7 @@
 async def test_limit_holds_for_all_nodes_together(path: str) -> None:
     """A replica in need gets several times what it says that it takes."""
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
+    replicas = make_model_replicas(*[(0, 8)] * 3) if streams else make_non_model_replicas(3)
     limited = replicas[0]
     async with run_nodes(replicas, 4) as nodes:
         limited.says = {'Server-Limit': f'{_LIMIT}'}
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet.running import RunningNode, make_configuration, make_plain, run_node
+from fleet.running import RunningNode, make_configuration, make_non_model_replicas, run_node
 
 _LIMITS = {
     'maxHeaderBytes': 2000,
@@ -35,14 +35,14 @@
 
     Taken in, they would fill the memory of the node.
     """
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         answer = await _send(node, _HEAD, b'X-Long: ', b'x' * 3000)
         assert answer.startswith(b'HTTP/1.1 431 ')
         assert node.find('caller-refused')['status'].startswith('431')
 
 
 async def test_large_whole_header_is_refused() -> None:
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         lines = (_HEAD, b'X-Long: ', b'x' * 3000, b'\r\n\r\n')
         answer = await _send(node, b''.join(lines))
         assert answer.startswith(b'HTTP/1.1 431 ')
@@ -55,14 +55,14 @@
     Thousands of them would take all descriptors. The node says that nothing
     ran, which is true, and closes.
     """
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         answer = await _send(node, _HEAD)
         assert answer.startswith(b'HTTP/1.1 408 ')
 
 
 async def test_slow_body_is_refused() -> None:
     """A client sends a part of a body and falls silent."""
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         rest = b'Content-Length: 10\r\n\r\nhalf'
         answer = await _send(node, _HEAD, rest)
         assert answer.startswith(b'HTTP/1.1 408 ')
@@ -71,13 +71,13 @@
 
 
 async def test_connection_without_a_request_is_closed() -> None:
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         assert await _send(node) == b''
 
 
 async def test_large_body_is_no_header() -> None:
     """A body may be larger than a header may be."""
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         body = b'x' * 9000
         lines = (
             b'Api-Key: ward-1-key\r\nConnection: close\r\n',
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -5,8 +5,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    expect_events,
-    make_model,
+    make_event_stream,
+    make_model_replicas,
     run_node,
     wait_until,
 )
@@ -26,7 +26,7 @@
     Its refusal is the first sign. It is asked for a report, which tells that
     it holds nothing, and is ordered to hold its layers again.
     """
-    replicas = make_model((0, 8))
+    replicas = make_model_replicas((0, 8))
     replicas[0].born = 1000
     async with run_node(replicas) as node:
         node.replicas['m-0'].start_again()
@@ -37,19 +37,19 @@
         assert order['expect'] == 0
         await wait_until(lambda: node.count('replica-listed') >= 3)
         _, body, _ = await ask(node, '/plan/x', identity='r-2')
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
 
 
-async def test_answer_of_another_replica_ends_a_life() -> None:
+async def test_answer_of_another_replica_marks_a_crash() -> None:
     """Another replica answers at the address of one that is still listed.
 
     Requests went there again and again until the entry lapsed.
     """
-    async with run_node(make_model((0, 8), (0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8), (0, 8))) as node:
         node.replicas['m-0'].name = 'm-9'
         for number in range(4):
             _, body, _ = await ask(node, '/plan/x', identity=f'r-{number}')
-            assert body == expect_events(5)
+            assert body == make_event_stream(5)
             await asyncio.sleep(0.4)
         sent = [
             line['path'][0][0]
--- a/tests/platform/test_moves.py
+++ b/tests/platform/test_moves.py
@@ -6,8 +6,8 @@
 import pytest
 
 from fleet.running import (
-    expect_events,
-    make_model,
+    make_event_stream,
+    make_model_replicas,
     open_request,
     run_node,
     wait_until,
@@ -37,7 +37,7 @@
     It ends seconds later and takes its streams with it. They are moved to
     another path meanwhile, and callers see nothing of it.
     """
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
         head = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -59,7 +59,7 @@
     It loads them when no stream passes through the old ones any more. With
     long answers its zone had a gap for seven seconds.
     """
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
         head = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -81,7 +81,7 @@
     The route allows two. A third run is one too many, though this node cut
     off both itself and neither replica was lost.
     """
-    replicas = make_model((0, 8), (0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8), (0, 8))
     for replica in replicas:
         replica.stall_after = 2
         replica.stalls = 9
@@ -105,7 +105,7 @@
     """
     for name in ('MAX_REPAIR_WAIT_SECONDS', 'GIVE_UP_SECONDS'):
         monkeypatch.setattr(f'ryelatch_node.relay._watch.{name}', 60)
-    async with run_node(make_model((0, 4), (4, 8), None)) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), None)) as node:
         head, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         head.stall_after = 2
@@ -116,7 +116,7 @@
             spare.layers = (4, 8)
             spare.register()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert spare.address in _list_moves(head)[0]
         assert len(head.runs) == 1
 
@@ -126,7 +126,7 @@
 
     Cutting it off could not bring it back. It goes on when its replica does.
     """
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     for replica in replicas:
         replica.stall_after = 2
     async with run_node(replicas) as node:
@@ -136,7 +136,7 @@
             await asyncio.sleep(1.6)
             second.resume()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
 
 
 async def test_leaving_first_replica_keeps_its_streams(
@@ -148,8 +148,8 @@
     to be resumed elsewhere, found no place, and callers lost answers that
     would have ended in time.
     """
-    monkeypatch.setattr('ryelatch_node.relay._evacuation.LEAVING_SECONDS', 0)
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)), 8)
+    monkeypatch.setattr('ryelatch_node.relay._migration_planner.LEAVING_SECONDS', 0)
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)), 8)
     async with run_node(replicas) as node:
         head = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -169,11 +169,11 @@
     It would be left for others that are sound; as there are none, the second
     try goes to it again and brings the answer.
     """
-    replicas = make_model((0, 8))
+    replicas = make_model_replicas((0, 8))
     replicas[0].failures = 1
     async with run_node(replicas) as node:
         async with open_request(node, '/plan/x') as response:
-            assert await response.read() == expect_events(5)
+            assert await response.read() == make_event_stream(5)
         assert len(node.replicas['m-0'].runs) == 2
 
 
@@ -187,7 +187,7 @@
     layers are held again.
     """
     monkeypatch.setattr('ryelatch_node.relay._watch.GIVE_UP_SECONDS', 60)
-    async with run_node(make_model((0, 4), (4, 8), None)) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), None)) as node:
         head, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         head.stall_after = 2
@@ -199,7 +199,7 @@
             spare.layers = (4, 8)
             spare.register()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert len(head.runs) == 1
 
 
@@ -209,7 +209,7 @@
     A new run would be one retry too many. The stream is moved instead, which
     is none: its first replica goes on with it.
     """
-    model = make_model((0, 4), (4, 8), (0, 8))
+    model = make_model_replicas((0, 4), (4, 8), (0, 8))
     model[2].zone = 'zone-b'
     async with run_node(model) as node:
         budget = node.app.find('streams', StreamWatch).context.budget
@@ -222,7 +222,7 @@
             while budget.spend():
                 """Leave none."""
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         runs = [run for one in node.replicas.values() for run in one.runs]
         assert len(runs) == 1
 
@@ -233,7 +233,7 @@
     The order fails, and there is nothing left to cut off; trying to ended
     the part of the node that looks after streams.
     """
-    async with run_node(make_model((0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8))) as node:
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             streams = node.app.find('streams', StreamWatch).streams
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -12,15 +12,15 @@
 from fleet.running import (
     RunningNode,
     make_configuration,
-    make_plain,
+    make_non_model_replicas,
     run_node,
     wait_until,
 )
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import App, BootClock
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_platform._main import build_app
 from ryelatch_platform._store import StoreFailure
 from virtual.loop import run
@@ -54,12 +54,12 @@
 
 def _introduce(node: RunningNode, app: App) -> None:
     """Let both know the first one, which watches for others."""
-    address = node.app.find('news', News).address
+    address = node.app.find('news', PeerSync).address
     first = NodeEntry(
         'node-a', 'zone-a', f'{address.host}:{address.port}', 1000
     )
     for each in (node.app, app):
-        each.find('news', News).know([first])
+        each.find('news', PeerSync).update_nodes([first])
 
 
 def _count_watches(node: RunningNode, kind: str) -> int:
@@ -77,7 +77,7 @@
 
 async def test_followers_make_no_calls() -> None:
     """Two nodes, one of which watches for both."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         before = _count_watches(node, 'servers')
         await asyncio.sleep(3)
@@ -88,7 +88,7 @@
 
 async def test_changes_reach_followers() -> None:
     """A key goes and a replica leaves; the follower hears of both."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         node.store.put('config', 'main', make_configuration(7, tenants=[]))
         node.store.drop('servers', 'b-0')
@@ -98,28 +98,28 @@
         await wait_until(lambda: len(replicas.replicas) == 1, 2)
 
 
-async def test_lost_watcher_is_left() -> None:
+async def test_lost_watcher_is_abandoned() -> None:
     """The node that watches for others is killed; the follower watches."""
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, found),
     ):
         await asyncio.sleep(2.5)
-        await node.app.find('news', News).stop()
+        await node.app.find('news', PeerSync).stop()
         node.store.drop('servers', 'b-0')
         replicas = app.find('replicas', ReplicaView)
         await wait_until(lambda: len(replicas.replicas) == 1, 3)
         assert any(line['name'] == 'watcher-left' for line in found)
 
 
-async def test_blind_watcher_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watcher_without_the_store_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """The watcher is cut off from the store and goes on to answer.
 
     A replica that left would get work from its followers, and a key that was
     taken away be accepted.
     """
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, found),
     ):
         await asyncio.sleep(2.5)
@@ -153,15 +153,15 @@
     also where a configuration changed meanwhile that is too large to be
     passed on to those who can read it themselves.
     """
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         monkeypatch.setattr(
             'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 20
         )
         store = app.find('store', object)
 
         async def fail(*_: Any, **given: Any) -> Any:
-            store.availability.note_out('cut off', 0)  # type: ignore[attr-defined]
-            return Err(StoreFailure.OUT)
+            store.availability.record_unavailable('cut off', 0)  # type: ignore[attr-defined]
+            return Err(StoreFailure.UNAVAILABLE)
 
         monkeypatch.setattr(store, '_call', fail)
         configuration = app.find('configuration', ConfigurationView)
@@ -181,8 +181,8 @@
 
 async def test_bad_frames_end_a_connection_only() -> None:
     """Something that is no peer connects."""
-    async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
-        address = node.app.find('news', News).address
+    async with run_node(make_non_model_replicas(1)) as node, _run_second(node) as (app, _):
+        address = node.app.find('news', PeerSync).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(junk)
@@ -203,7 +203,7 @@
     async def play() -> None:
         world = World(4.0, 5.0)
         await world.start([f'node-{number}' for number in range(4)])
-        world.nodes['node-0'].news.know([])
+        world.nodes['node-0'].peer_sync.update_nodes([])
         await asyncio.sleep(2)
         before = len(world.store.calls)
         await asyncio.sleep(20)
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -12,14 +12,14 @@
     RunningNode,
     ask,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     run_peer,
     wait_until,
 )
 from ryelatch_core.quarantine import digest_request
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 from standins.replica import ReplicaStandIn
 
 _CRASHING = b'a question under which replicas end'
@@ -60,7 +60,7 @@
 
     The line has what led to it, so an operator finds the cause by the id.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _end_three(node)
         status, body, headers = await ask(
             node, '/ping/x', identity='again', content=_CRASHING
@@ -82,7 +82,7 @@
     If one account could get what another asks for refused, it would have to
     send but three bad requests.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _end_three(node)
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
@@ -99,7 +99,7 @@
 
     Three more replicas would end under the request at each such start.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _end_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
         async with run_peer(node, 'node-b') as peer:
@@ -112,7 +112,7 @@
 async def test_operator_lets_a_request_in_again() -> None:
     """A replica's software is mended; the object is deleted by hand."""
     async with (
-        _run_node(make_plain(6)) as node,
+        _run_node(make_non_model_replicas(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
         await _end_three(node)
@@ -127,13 +127,13 @@
             assert status == 200
 
 
-async def test_ends_of_an_outage_are_told_after_it() -> None:
+async def test_crashes_in_an_outage_are_shared_later() -> None:
     """Replicas end under a request while the store answers nobody.
 
     This node refuses it at once, the others when the store is back.
     """
     async with (
-        _run_node(make_plain(6)) as node,
+        _run_node(make_non_model_replicas(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
         node.store.mode = 'busy'
@@ -145,7 +145,7 @@
 
 async def test_lost_answer_of_the_store_is_settled() -> None:
     """A write takes effect, and its answer is lost."""
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         node.store.lose_answers = 1
         await _end_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
@@ -154,13 +154,13 @@
         )
 
 
-async def test_lost_connections_are_no_ends() -> None:
+async def test_lost_connections_are_not_crashes() -> None:
     """Replicas cut answers off and serve on, or the way there is cut.
 
     Taken for ends, a link that loses connections would have all that goes
     over it refused.
     """
-    replicas = make_plain(4)
+    replicas = make_non_model_replicas(4)
     async with _run_node(replicas) as node:
         for replica in replicas:
             replica.unframed_part = True
@@ -180,7 +180,7 @@
     VMs are taken back one by one, and each ends in the middle of streams
     that began long before. None of them is why.
     """
-    replicas = make_model(*[(0, 8)] * 6)
+    replicas = make_model_replicas(*[(0, 8)] * 6)
     for replica in replicas:
         replica.events = 40
         replica.pause = 0.05
@@ -201,7 +201,7 @@
     The node knows by then that the replica is lost, and cuts the stream off
     itself. Where that was the request that ended it, nobody would be blamed.
     """
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     async with _run_node(replicas) as node:
         for replica in replicas:
             replica.hang = True
@@ -216,12 +216,12 @@
         asked.cancel()
 
 
-async def test_slow_replica_is_no_alibi() -> None:
+async def test_request_on_a_slow_replica_is_suspected() -> None:
     """Slow replicas take most of a second from an answer's head to their end.
 
     Counted from the head, the request would have run for too long to be why.
     """
-    replicas = make_model(*[(0, 8)] * 4)
+    replicas = make_model_replicas(*[(0, 8)] * 4)
     for replica in replicas:
         replica.pause = 0.8
     async with _run_node(replicas) as node:
@@ -237,7 +237,7 @@
 
     Each end takes one of those many along, and none of them is why.
     """
-    replicas = make_plain(6)
+    replicas = make_non_model_replicas(6)
     async with _run_node(replicas) as node:
         for loss in range(4):
             for number in range(3):
@@ -255,13 +255,13 @@
         assert not node.count('request-quarantined')
 
 
-async def test_one_attempt_ends_few_replicas() -> None:
+async def test_one_attempt_crashes_few_replicas() -> None:
     """One attempt of a client ended five replicas where its route allows two.
 
     A run that ended with its replica did not count among the attempts, as a
     lost replica is no reason to fail its streams.
     """
-    async with _run_node(make_model(*[(0, 8)] * 8)) as node:
+    async with _run_node(make_model_replicas(*[(0, 8)] * 8)) as node:
         await ask(node, '/plan/x', content=_CRASHING)
         assert _count_ended(node) == 2
 
@@ -280,7 +280,7 @@
     name: str, spec: Any
 ) -> None:
     """Anyone may write to the store; what is read of it is known again."""
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         node.store.put(_KIND, name, spec)
         await wait_until(lambda: node.count('configuration-refused'))
         status, _, _ = await ask(node, '/ping/x')
--- a/tests/platform/test_quarantine_reach.py
+++ b/tests/platform/test_quarantine_reach.py
@@ -64,7 +64,7 @@
 
 
 @_FLEETS
-def test_ends_seen_at_once_by_three(fleet: _Fleet) -> None:
+def test_crashes_seen_at_once_by_three(fleet: _Fleet) -> None:
     """Copies of a request are under way at three nodes at the same moment.
 
     Each sees one end and keeps it for a while, as most come to nothing.
@@ -81,7 +81,7 @@
 
 
 @_FLEETS
-def test_ends_seen_one_after_the_other(fleet: _Fleet) -> None:
+def test_crashes_seen_one_after_the_other(fleet: _Fleet) -> None:
     """The client comes back every second; the third end is told at once."""
 
     async def play() -> None:
@@ -100,7 +100,7 @@
 
 @_FLEETS
 @pytest.mark.parametrize('trouble', [Trouble.SILENT, Trouble.BUSY])
-def test_store_is_out_as_replicas_end(fleet: _Fleet, trouble: Trouble) -> None:
+def test_store_outage_while_replicas_crash(fleet: _Fleet, trouble: Trouble) -> None:
     """The store answers nobody from before the first end to after the last.
 
     Nodes are held to the bound when it has been back for that time.
@@ -162,7 +162,7 @@
 
 
 @_FLEETS
-def test_calls_for_ends_are_few(fleet: _Fleet) -> None:
+def test_crashes_cause_few_store_calls(fleet: _Fleet) -> None:
     """Replicas end under requests that then run on elsewhere, as most do.
 
     Nothing of them is told, so a large loss costs no call to the store.
