--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -8,15 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet.running import ask, expect_events, make_model, run_node, wait_until
+from fleet.running import ask, make_event_stream, make_model_replicas, run_node, wait_until
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
-from ryelatch_node.beliefs import ReplicaView
-from ryelatch_node.news import Change, Heard
+from ryelatch_node.views import ReplicaView
+from ryelatch_node.peer_sync import Change, StoreUpdate
 from ryelatch_platform._list import read_changes
 from ryelatch_platform._objects import Changes, Page, StoredObject
-from ryelatch_platform._registry import Registry
+from ryelatch_platform._registry import ReplicaRegistry
 
 _ENTRY = {
     'service': 'model',
@@ -42,7 +42,7 @@
 )
 
 
-def _make_registry() -> tuple[Registry, ReplicaView, list[Any]]:
+def _make_registry() -> tuple[ReplicaRegistry, ReplicaView, list[Any]]:
     lines: list[Any] = []
 
     def write(line: bytes) -> int:
@@ -52,7 +52,7 @@
     clock = BootClock()
     log = LineLog('node-a', clock, write)
     view = ReplicaView(log, clock, Hub(), compute_departure_bounds(2, 3))
-    return Registry(log, view), view, lines
+    return ReplicaRegistry(log, view), view, lines
 
 
 def _make_object(name: str, spec: Any) -> dict[str, Any]:
@@ -155,7 +155,7 @@
         {'events': [{'object': one} for one in entries], 'at': 3}
     ).encode()
     events = msgspec.json.decode(raw, type=Changes).events
-    heard = Heard(
+    heard = StoreUpdate(
         3, 0, tuple(Change(bytes(one.found), False) for one in events)
     )
     read = [found.metadata.name for found, _ in read_changes(heard)]
@@ -174,11 +174,11 @@
 
 async def test_others_serve_beside_foreign_entries() -> None:
     """Foreign entries come in the list and in changes; requests go on."""
-    async with run_node(make_model((0, 4), (4, 8))) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8))) as node:
         for number, spec in enumerate([None, 5, 'x', {}, {'service': 'model'}]):
             node.store.put('servers', f'x-{number}', spec)
         await wait_until(lambda: node.count('entry-refused') == 5)
         node.store.forget_history()
         await wait_until(lambda: node.count('history-lost') >= 2)
         _, body, _ = await ask(node, '/plan/x')
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from fleet.running import make_plain, run_node
-from ryelatch_platform._reload import SettingsWatch
+from fleet.running import make_non_model_replicas, run_node
+from ryelatch_platform._reload import SettingsReloader
 
 _FILE = """
 nodeName = "edge-1"
@@ -26,8 +26,8 @@
     """
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
-    async with run_node(make_plain(1)) as node:
-        watch = SettingsWatch(node.app, path)
+    async with run_node(make_non_model_replicas(1)) as node:
+        watch = SettingsReloader(node.app, path)
         path.write_text(_FILE.format(revoke=1000, extra=8))
         watch.reload()
         # The margin alone takes more than a second.
@@ -42,8 +42,8 @@
     """The file is wrong; the process serves on, and says what is wrong."""
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
-    async with run_node(make_plain(1)) as node:
-        watch = SettingsWatch(node.app, path)
+    async with run_node(make_non_model_replicas(1)) as node:
+        watch = SettingsReloader(node.app, path)
         path.write_text('nodeName = 3')
         watch.reload()
         assert node.server.ready
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ryelatch_core.quarantine import RequestPhase
-from ryelatch_node.news import Heard
-from ryelatch_node.news._introduction import Introduction
+from ryelatch_node.peer_sync import StoreUpdate
+from ryelatch_node.peer_sync._bootstrap_client import BootstrapClient
 from ryelatch_platform._kinds import Kind
 from ryelatch_platform._quarantine import QUARANTINE_KIND
 from virtual.loop import run
@@ -60,7 +60,7 @@
         await asyncio.sleep(_LEARN_SECONDS)
         assert _serves(world, names[0])
         assert world.nodes[names[0]].configuration.allows_keys()
-        assert len(world.nodes[names[0]].news.nodes) == count
+        assert len(world.nodes[names[0]].peer_sync.nodes) == count
         await world.stop()
 
     run(play())
@@ -81,19 +81,19 @@
     run(play())
 
 
-def _delay_refused(introduction: Introduction) -> None:
+def _delay_refused(bootstrap_client: BootstrapClient) -> None:
     """Let the word of what is refused come late."""
-    ask = introduction.ask_whole
+    ask = bootstrap_client.request_list
 
-    async def ask_late(kind: str) -> Heard | None:
+    async def ask_late(kind: str) -> StoreUpdate | None:
         if kind == QUARANTINE_KIND:
             await asyncio.sleep(0.4)
         return await ask(kind)
 
-    introduction.ask_whole = ask_late  # type: ignore[method-assign]
+    bootstrap_client.request_list = ask_late  # type: ignore[method-assign]
 
 
-def test_what_is_refused_is_known_first() -> None:
+def test_quarantine_is_synced_first() -> None:
     """A request has ended three replicas, and a node starts in an outage."""
 
     async def play() -> None:
@@ -109,7 +109,7 @@
         world.store.troubles.update(dict.fromkeys(names, Trouble.SILENT))
         await world.restart(names[:1])
         node = world.nodes[names[0]]
-        _delay_refused(node.news.introduction)
+        _delay_refused(node.peer_sync.bootstrap_client)
         for _ in range(100):
             await asyncio.sleep(0.05)
             refused = node.quarantine.find_refused(_DIGEST)
@@ -142,16 +142,16 @@
         _UNTOLD,
         20,
         0,
-        shared_wait=10,
+        shared_wait_seconds=10,
         replace=lambda listed, known, unanswered: None,
         put=lambda found, known: None,
         remove=lambda name, unanswered: None,
         confirm=lambda known: None,
-        needed=False,
+        required=False,
     )
 
 
-def test_node_greeted_in_an_outage_asks_little() -> None:
+def test_bootstrapped_node_makes_few_calls() -> None:
     """The store refuses at once; what no peer tells is asked for in vain."""
 
     async def play() -> None:
@@ -186,7 +186,7 @@
     run(play())
 
 
-def test_nobody_is_greeted_in_calm() -> None:
+def test_no_bootstrap_without_an_outage() -> None:
     """A calm fleet starts and runs; nothing is asked beyond its watches."""
 
     async def play() -> None:
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -8,20 +8,20 @@
 from fleet.running import (
     KEY,
     ask,
-    expect_events,
+    make_event_stream,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     make_route,
     open_request,
     run_node,
     wait_until,
 )
-from ryelatch_node.beliefs import ReplicaView
+from ryelatch_node.views import ReplicaView
 
 
 async def test_plain_answer_is_passed_on_byte_for_byte() -> None:
-    async with run_node(make_plain()) as node:
+    async with run_node(make_non_model_replicas()) as node:
         status, body, headers = await ask(node, '/ping/a%2Fb?x=%20y')
         ran = next(one for one in node.replicas.values() if one.runs)
         assert status == 200
@@ -37,10 +37,10 @@
 
 
 async def test_stream_passes_through_all_layers() -> None:
-    async with run_node(make_model((0, 3), (3, 8))) as node:
+    async with run_node(make_model_replicas((0, 3), (3, 8))) as node:
         status, body, headers = await ask(node, '/plan/x')
         assert status == 200
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert headers['x-ryelatch-replica-signature'] == 'signed-m-0'
         first, second = node.replicas['m-0'], node.replicas['m-1']
         path = first.runs[0].headers['X-Ryelatch-Hop-Count']
@@ -49,7 +49,7 @@
 
 async def test_client_cannot_set_what_the_router_sets() -> None:
     """A client claims another's account and a path of its own."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         await ask(
             node,
             '/ping/x',
@@ -67,7 +67,7 @@
 
 
 async def test_unknown_route_and_key_are_denied() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         status, _, _ = await ask(node, '/nowhere/x')
         assert status == 404
         status, _, _ = await ask(node, '/ping/x', Api_Key='stolen')
@@ -76,7 +76,7 @@
 
 
 async def test_body_beyond_the_limit_is_refused() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         headers = {'Host': 'city.example', 'Api-Key': KEY}
         async with node.http.post(
             f'{node.url}/ping/x', data=b'x' * 20_000, headers=headers
@@ -90,7 +90,7 @@
 
     The client gets the answer of the other replica.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].fail = 500
         node.replicas['b-1'].zone = 'zone-b'
         node.replicas['b-1'].register()
@@ -102,7 +102,7 @@
 
 async def test_failed_booking_is_passed_on() -> None:
     """A booking fails at its replica; it ran, so it may not run again."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         for replica in node.replicas.values():
             replica.fail = 500
         status, body, headers = await ask(node, '/book/x')
@@ -113,7 +113,7 @@
 
 async def test_refused_booking_is_tried_elsewhere() -> None:
     """A replica says that it did not run a booking: another may."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].refuse = 503
         for number in range(4):
             status, body, _ = await ask(node, '/book/x', identity=f'r-{number}')
@@ -128,7 +128,7 @@
     """
     routes = [make_route('book', routeKind='non_idempotent', timeoutMs=400)]
     configuration = make_configuration(routes=routes)
-    async with run_node(make_plain(2), configuration) as node:
+    async with run_node(make_non_model_replicas(2), configuration) as node:
         for replica in node.replicas.values():
             replica.hang = True
         started = asyncio.get_running_loop().time()
@@ -141,7 +141,7 @@
 
 async def test_all_full_is_refused_at_once() -> None:
     """No replica has room; the client is told when to come back."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         for replica in node.replicas.values():
             replica.refuse = 503
         status, _, headers = await ask(node, '/book/x')
@@ -154,7 +154,7 @@
 
     Passed on, one client would read what another asked for.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.replicas['b-0'].other_identity = True
         status, body, _ = await ask(node, '/ping/x')
         assert status == 502
@@ -166,7 +166,7 @@
 
     Taken for the end, a part of the answer would look like all of it.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.replicas['b-0'].unframed_part = True
         status, body, _ = await ask(node, '/book/x')
         assert status == 502
@@ -179,12 +179,12 @@
     The client sees one stream: each event whole, once and in order, under
     the signature that it began with.
     """
-    async with run_node(make_model((0, 8), (0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8), (0, 8))) as node:
         for replica in node.replicas.values():
             replica.break_after = 2
         status, body, headers = await ask(node, '/plan/x')
         assert status == 200
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         runs = [run for one in node.replicas.values() for run in one.runs]
         resumed = [run.headers.get('Last-Event-Id') for run in runs]
         assert {None, '2'} <= set(resumed)
@@ -204,13 +204,13 @@
         )
     ]
     configuration = make_configuration(routes=routes)
-    async with run_node(make_model((0, 8)), configuration) as node:
+    async with run_node(make_model_replicas((0, 8)), configuration) as node:
         node.replicas['m-0'].break_after = 2
         async with open_request(node, '/plan/x') as response:
             passed = await response.content.readuntil(b'token 2\n\n')
             with pytest.raises(aiohttp.ClientError):
                 await response.content.read()
-        assert passed == expect_events(2)
+        assert passed == make_event_stream(2)
         await wait_until(lambda: node.count('exchange-broken'))
 
 
@@ -220,7 +220,7 @@
     The first replica only waits. Its report names the lost one, the stream
     is moved, and goes on without a new run.
     """
-    async with run_node(make_model((0, 4), (4, 8), (4, 8))) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), (4, 8))) as node:
         head = node.replicas['m-0']
         head.stall_after = 2
         async with open_request(node, '/plan/x') as response:
@@ -240,7 +240,7 @@
 async def test_missing_layers_are_refused_at_once() -> None:
     """Nobody holds some layers; waiting would not help the client."""
     small = [(0, 3), (5, 8)]
-    async with run_node(make_model(*small)) as node:
+    async with run_node(make_model_replicas(*small)) as node:
         for replica in node.replicas.values():
             replica.fence = 99  # repairs are refused
         status, _, headers = await ask(node, '/plan/x')
@@ -254,7 +254,7 @@
 
     Work that nobody waits for keeps a place from others.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         replica = node.replicas['b-0']
         replica.hang = True
         asking = asyncio.create_task(ask(node, '/ping/x'))
@@ -264,12 +264,12 @@
         await wait_until(lambda: node.count('exchange-left'))
 
 
-async def test_unreachable_replica_costs_no_booking() -> None:
+async def test_booking_survives_unreachable_replica() -> None:
     """A replica is gone, and the registry still lists it.
 
     Nothing was sent, so even a booking may go to another replica.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         gone = node.replicas['b-0']
         gone.address = '127.0.0.1:1'
         gone.register()
@@ -285,7 +285,7 @@
     It says that it is not the one that was meant, which is as good as not
     having been asked.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].name = 'b-0-restarted'
         for number in range(4):
             status, body, _ = await ask(node, '/book/x', identity=f'r-{number}')
@@ -299,7 +299,7 @@
     Its lists come within milliseconds. Refused before, a client that has come
     back once already has lost its request.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
         asking = asyncio.create_task(ask(node, '/ping/x'))
         await asyncio.sleep(0.05)
@@ -310,7 +310,7 @@
 
 async def test_nobody_waits_long_for_a_list() -> None:
     """The store is out at the start: another node serves the client."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
         status, _, headers = await ask(node, '/ping/x')
         assert status == 503
--- a/tests/promises/test_layers.py
+++ b/tests/promises/test_layers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import (
     check_layers_once,
     check_streams_freed,
@@ -20,18 +20,18 @@
 _TOKENS = 60
 
 
-async def _start(fleet: Fleet, heard: Heard) -> asyncio.Task[Heard]:
+async def _start(fleet: Fleet, heard: StreamedAnswer) -> asyncio.Task[StreamedAnswer]:
     return asyncio.create_task(
         ask(fleet.http, fleet.nodes[0], _KEY, _CONTENT, _TOKENS, heard)
     )
 
 
-async def _wait_tokens(fleet: Fleet, heard: Heard, count: int) -> list[str]:
+async def _wait_tokens(fleet: Fleet, heard: StreamedAnswer, count: int) -> list[str]:
     await fleet.wait_until(lambda: len(heard.text) >= count)
     return await find_chain(fleet, heard.headers['x-ryelatch-request'])
 
 
-async def _check_whole(fleet: Fleet, heard: Heard) -> None:
+async def _check_whole(fleet: Fleet, heard: StreamedAnswer) -> None:
     assert heard.text == complete_chat(_CONTENT, 12, _TOKENS)
     assert heard.done
     assert heard.finish == 'length'
@@ -49,7 +49,7 @@
     on from the last token delivered.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         chain = await _wait_tokens(fleet, heard, after)
         await fleet.processes[chain[stage]].kill()
@@ -64,7 +64,7 @@
     its own middle stage before it has given a token.
     """
     async with run_fleet(make_shape(nodes=1, replicas=3)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         chain = await _wait_tokens(fleet, heard, 10)
         await asyncio.gather(
@@ -90,7 +90,7 @@
     frame let through would give one position two tokens.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         chain = await _wait_tokens(fleet, heard, 10)
         frozen = fleet.processes[chain[1]]
@@ -108,7 +108,7 @@
     again, and the engine gives the kept result instead of running it twice.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         await _wait_tokens(fleet, heard, 10)
         engine = fleet.processes['engine-1a']
@@ -128,7 +128,7 @@
     The engine refuses the step, and the answer moves to engines that tile.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         chain = await _wait_tokens(fleet, heard, 10)
         await fleet.control(fleet.processes[chain[1]], 'state', change)
@@ -143,7 +143,7 @@
     against the step, the attempt is given up, and an event tells of it.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         chain = await _wait_tokens(fleet, heard, 10)
         liar = fleet.processes[chain[1]]
@@ -160,11 +160,11 @@
     on new connections, and the attempt itself goes on.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = await _start(fleet, heard)
         await _wait_tokens(fleet, heard, 10)
         for spec in fleet.shape.engines:
-            await fleet.silence(fleet.processes[spec.name])
+            await fleet.silence_connections(fleet.processes[spec.name])
         await asking
         await _check_whole(fleet, heard)
         assert not await list_events(fleet, 'chain-lost')
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import book, count_runs, read_ledgers
 from fleet.fleet import Fleet, make_shape, run_fleet
 from standins.model import complete_chat
@@ -51,7 +51,7 @@
     store is out. Its answers end whole and no node gives it a new one.
     """
     async with run_fleet(make_shape()) as fleet:
-        heard = [Heard() for _ in range(9)]
+        heard = [StreamedAnswer() for _ in range(9)]
         asking = [
             asyncio.create_task(
                 ask(
--- a/tests/promises/test_own_answer.py
+++ b/tests/promises/test_own_answer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import check_layers_once, check_streams_freed, list_events
 from fleet.fleet import make_shape, run_fleet
 from standins.model import complete_chat
@@ -29,7 +29,7 @@
                 fleet.processes[name], 'state', {'faults': faults}
             )
         contents = [f'question {index} ' * 5 for index in range(_CALLERS)]
-        heard = [Heard() for _ in contents]
+        heard = [StreamedAnswer() for _ in contents]
         asking = [
             asyncio.create_task(
                 ask(
@@ -61,7 +61,7 @@
     is cancelled at once, and the next answer on the node is right.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEYS[0], 'long', 1000, heard)
         )
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from fleet.running import expect_events
+from fleet.running import make_event_stream
 from soak.asking import LIMIT_NOTICE_SECONDS, LIMIT_PER_SECOND, WINDOW_SECONDS
 from soak.clients import Attempt, Clients
 from soak.crashing import CRASHING_KINDS, compute_digest
@@ -29,7 +29,7 @@
 
 def check_answers(world: World, clients: Clients) -> Iterator[str]:
     """Complete answers are correct; incomplete streams are prefixes of them."""
-    streams = [expect_events(count) for count in range(STREAM_EVENTS + 1)]
+    streams = [make_event_stream(count) for count in range(STREAM_EVENTS + 1)]
     for attempt in clients.attempts:
         if attempt.status != 200:
             continue
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,7 +16,7 @@
 
 from aiohttp import ClientError, ClientSession, web
 
-from fleet.running import KEY, make_configuration, make_model, make_plain
+from fleet.running import KEY, make_configuration, make_model_replicas, make_non_model_replicas
 from soak.links import Link
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn
@@ -261,8 +261,8 @@
 
 
 async def _populate(world: World, folder: Path) -> None:
-    replicas = make_model((0, 8), (0, 8), (0, 4), (4, 8), (4, 8), None)
-    replicas += make_plain(3)
+    replicas = make_model_replicas((0, 8), (0, 8), (0, 4), (4, 8), (4, 8), None)
+    replicas += make_non_model_replicas(3)
     for replica in replicas:
         await world.add_replica(replica)
     for number in range(NODE_COUNT):
--- a/tests/virtual/throttles.py
+++ b/tests/virtual/throttles.py
@@ -10,9 +10,9 @@
 from ryelatch_core.events import LineLog
 from ryelatch_core.fleet import Replica
 from ryelatch_core.membership import NodeEntry
-from ryelatch_node.news import News
-from ryelatch_node.ports import AnswerTerms
-from ryelatch_node.throttle import PermitLines, Throttle
+from ryelatch_node.peer_sync import PeerSync
+from ryelatch_node.ports import AnswerMetadata
+from ryelatch_node.throttle import PermitClient, Throttle
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 
@@ -24,13 +24,13 @@
     """Nodes that send to one replica, which names a limit.
 
     :param limit: named in each answer; nothing for none.
-    :param dark: nodes that can't be reached.
+    :param unreachable: nodes that can't be reached.
     :param sent: when a request reached the replica, and from which node.
     """
 
     limit: float | None
     nodes: dict[str, Throttle] = field(default_factory=dict)
-    dark: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     sent: list[tuple[float, str]] = field(default_factory=list)
     lines: list[dict[str, Any]] = field(default_factory=list)
     _tasks: list['asyncio.Task[None]'] = field(default_factory=list)
@@ -39,26 +39,26 @@
         """Start nodes that know each other."""
         for name in names:
             self.nodes[name] = self._make(name)
-        self.know(self.nodes, self.nodes)
+        self.update_nodes(self.nodes, self.nodes)
 
-    def know(self, knowing: Iterable[str], known: Iterable[str]) -> None:
+    def update_nodes(self, knowing: Iterable[str], known: Iterable[str]) -> None:
         """Let some nodes know of some nodes."""
         entries = [NodeEntry(name, 'zone-a', f'{name}:1') for name in known]
         for name in knowing:
-            self.nodes[name].news.know(entries)
+            self.nodes[name].peer_sync.update_nodes(entries)
 
     async def send(self, name: str) -> bool:
         """Send a request from a node, if it has leave, and hear the answer."""
         throttle = self.nodes[name]
         if REPLICA.name in throttle.list_closed():
             return False
-        if not await throttle.take(REPLICA):
+        if not await throttle.acquire_permit(REPLICA):
             return False
         self.sent.append((asyncio.get_running_loop().time(), name))
-        throttle.note_answer(REPLICA, make_terms(self.limit))
+        throttle.record_answer(REPLICA, make_metadata(self.limit))
         return True
 
-    async def press(self, names: list[str], seconds: float, gap: float) -> None:
+    async def send_in_turn(self, names: list[str], seconds: float, gap: float) -> None:
         """Send from some nodes in turn, one request each so many seconds."""
         loop = asyncio.get_running_loop()
         ends = loop.time() + seconds
@@ -67,7 +67,7 @@
                 self._tasks.append(asyncio.create_task(self._press_once(name)))
                 await asyncio.sleep(gap)
 
-    def count_most(self, since: float, span: float) -> int:
+    def count_max(self, since: float, span: float) -> int:
         """Count the most requests that came within some seconds."""
         times = [at for at, _ in self.sent if at >= since]
         return max(
@@ -89,9 +89,9 @@
         clock = VirtualClock()
         log = LineLog(name, clock, self._write)
         startup = make_startup(1)._replace(name=name)
-        news = News(log, clock, startup, self._dial)
+        peer_sync = PeerSync(log, clock, startup, self._dial)
         return Throttle(
-            log, clock, startup, news, PermitLines(log, clock, news)
+            log, clock, startup, peer_sync, PermitClient(log, clock, peer_sync)
         )
 
     def _write(self, line: bytes) -> int:
@@ -99,15 +99,15 @@
         return len(line)
 
     async def _dial(self, host: str, _: int) -> Any:
-        if host in self.dark:
+        if host in self.unreachable:
             await asyncio.Event().wait()
         await asyncio.sleep(LINK_SECONDS)
-        near, far = open_pair(lambda: host not in self.dark)
-        serving = self.nodes[host].news.server.serve(*far)
+        near, far = open_pair(lambda: host not in self.unreachable)
+        serving = self.nodes[host].peer_sync.server.serve(*far)
         self._tasks.append(asyncio.create_task(serving))
         return near
 
 
-def make_terms(limit: float | None, *, signed: bool = True) -> AnswerTerms:
+def make_metadata(limit: float | None, *, signed: bool = True) -> AnswerMetadata:
     """Make what an answer says that names a limit."""
-    return AnswerTerms('', signed, not signed, '', False, limit=limit)
+    return AnswerMetadata('', signed, not signed, '', False, limit=limit)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -7,13 +7,13 @@
 from typing import Any
 from zlib import crc32
 
-from fleet.running import PLAIN_SERVICE, make_configuration, make_startup
+from fleet.running import NON_MODEL_SERVICE, make_configuration, make_startup
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NodeEntry, compute_departure_bounds
 from ryelatch_core.quarantine import CrashTracker
-from ryelatch_node.beliefs import ConfigurationView, ReplicaView
-from ryelatch_node.news import News
+from ryelatch_node.views import ConfigurationView, ReplicaView
+from ryelatch_node.peer_sync import PeerSync
 from ryelatch_node.ports import Address
 from ryelatch_node.quarantine import Quarantine
 from ryelatch_platform._follow import Follower
@@ -25,7 +25,7 @@
 )
 from ryelatch_platform._quarantine import make_quarantine_store
 from ryelatch_platform._store import StoreClient
-from ryelatch_platform._waits import ARRIVAL_SECONDS
+from ryelatch_platform._watch_timing import FLEET_START_SECONDS
 from virtual.links import LINK_SECONDS, open_pair
 from virtual.loop import VirtualClock
 from virtual.store import VirtualStore
@@ -41,7 +41,7 @@
     name: str
     view: ReplicaView
     configuration: ConfigurationView
-    news: News
+    peer_sync: PeerSync
     store: StoreClient
     follower: Follower
     quarantine: Quarantine
@@ -52,7 +52,7 @@
         """Start to follow, and to drop what is due."""
         await self.store.start()
         await self.quarantine.start()
-        self.news.start_greeting()
+        self.peer_sync.start_bootstrapper()
         await self.follower.start()
         self.tasks.append(asyncio.create_task(self._keep_house()))
 
@@ -60,7 +60,7 @@
         """Stop all."""
         await self.follower.stop()
         await self.quarantine.stop()
-        await self.news.stop()
+        await self.peer_sync.stop()
         for task in self.tasks:
             task.cancel()
         await self.store.stop()
@@ -68,7 +68,7 @@
     def offers(self, name: str) -> bool:
         """Whether a replica may get a request now."""
         return any(
-            one.name == name for one in self.view.list_service(PLAIN_SERVICE)
+            one.name == name for one in self.view.list_service(NON_MODEL_SERVICE)
         )
 
     def count(self, event: str) -> int:
@@ -78,7 +78,7 @@
     async def _keep_house(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_SECONDS)
-            self.view.drop_lapsed()
+            self.view.drop_expired()
             self.quarantine.evaluate()
 
 
@@ -115,9 +115,9 @@
             for order, name in enumerate(self.nodes)
         ]
         for node in self.nodes.values():
-            node.news.know(entries)
+            node.peer_sync.update_nodes(entries)
             await node.start()
-        await asyncio.sleep(ARRIVAL_SECONDS + 1)
+        await asyncio.sleep(FLEET_START_SECONDS + 1)
 
     async def stop(self) -> None:
         """Stop all nodes."""
@@ -135,7 +135,7 @@
     def register(self, name: str, state: str = 'ready') -> None:
         """Write a replica's entry."""
         spec = {
-            'service': PLAIN_SERVICE,
+            'service': NON_MODEL_SERVICE,
             'addr': f'10.0.0.{1 + crc32(name.encode()) % 200}:8000',
             'zone': 'zone-a',
             'version': '1',
@@ -174,8 +174,8 @@
             clock.monotonic,
             lambda: self.store.open_session(name),  # type: ignore
         )
-        news = News(log, clock, startup, self._dial(name))
-        news.address = Address(name, 1)
+        peer_sync = PeerSync(log, clock, startup, self._dial(name))
+        peer_sync.address = Address(name, 1)
         patience = crc32(name.encode()) % 100 / 100
         quarantine = Quarantine(
             log, clock, make_quarantine_store(store), CrashTracker(patience)
@@ -188,9 +188,9 @@
             kinds.append(follow_quarantine(log, quarantine))
         if self.untold:
             kinds.append(self.untold())
-        follower = Follower(store, news, log, clock, tuple(kinds))
+        follower = Follower(store, peer_sync, log, clock, tuple(kinds))
         return VirtualNode(
-            name, view, configuration, news, store, follower, quarantine, lines
+            name, view, configuration, peer_sync, store, follower, quarantine, lines
         )
 
     def _dial(self, caller: str) -> Any:
@@ -200,7 +200,7 @@
                 await asyncio.Event().wait()
             await asyncio.sleep(LINK_SECONDS)
             near, far = open_pair(lambda: not self.dark & {caller, host})
-            serving = peer.news.server.serve(*far)
+            serving = peer.peer_sync.server.serve(*far)
             peer.tasks.append(asyncio.create_task(serving))
             return near
 
