--- a/tests/platform/test_announced_departure.py
+++ b/tests/platform/test_announced_departure.py
@@ -27,7 +27,7 @@
     node: RunningNode, path: str, leaving: ReplicaStandIn
 ) -> None:
     """Send requests until a replica has announced that it is leaving."""
-    leaving.says = _LEAVING
+    leaving.extra_headers = _LEAVING
     before = len(leaving.runs)
     while len(leaving.runs) == before:
         await _ask_repeatedly(node, path, 1)
@@ -82,11 +82,11 @@
 async def test_restarted_replica_is_used_again() -> None:
     """A restarted replica gets no requests as its last incarnation left."""
     replicas = make_non_model_replicas(2)
-    replicas[0].born = 1000
+    replicas[0].started_at = 1000
     async with run_node(replicas) as node:
         await _announce_leaving(node, '/ping/x', replicas[0])
-        replicas[0].says = {}
-        replicas[0].start_again()
+        replicas[0].extra_headers = {}
+        replicas[0].restart()
         replicas[0].register()
         await wait_until(lambda: node.count('replica-listed') >= 3)
         await _ask_repeatedly(node, '/ping/x', 20)
@@ -96,7 +96,7 @@
 async def test_invalid_leaving_header_is_ignored() -> None:
     """An invalid header in an answer takes a working replica out of use."""
     replicas = make_non_model_replicas(1)
-    replicas[0].says = {'Server-Leaving': 'perhaps'}
+    replicas[0].extra_headers = {'Server-Leaving': 'perhaps'}
     async with run_node(replicas) as node:
         await _ask_repeatedly(node, '/ping/x', 3)
         assert len(replicas[0].runs) == 3
--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -23,7 +23,7 @@
     replicas = make_non_model_replicas(2)
     for replica in replicas:
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+        replica.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         await ask(node, '/ping/x')
         assert node.find('replica-backoff')['seconds'] == _BACKOFF_SECONDS
@@ -34,7 +34,7 @@
     """A backoff header that can't be parsed leaves no trace in the log."""
     replica = make_non_model_replicas(1)[0]
     replica.refuse = 503
-    replica.says = {'Retry-After': 'soon'}
+    replica.extra_headers = {'Retry-After': 'soon'}
     async with run_node([replica]) as node:
         await ask(node, '/ping/x')
         assert node.count('backoff-unreadable') == 1
@@ -70,7 +70,7 @@
     )
     limited = replicas[0]
     limited.refuse = 503
-    limited.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+    limited.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         statuses = await _send_for(node, path, 2 * _BACKOFF_SECONDS)
         assert set(statuses) == {200}
@@ -98,7 +98,7 @@
     )
     for number, replica in enumerate(replicas):
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS + number}'}
+        replica.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS + number}'}
     async with run_node(replicas) as node:
         loop = asyncio.get_running_loop()
         first = loop.time()
@@ -118,7 +118,7 @@
     """A replica in backoff gets requests for its report instead."""
     replicas = make_model_replicas((0, 8), (0, 8))
     replicas[0].refuse = 503
-    replicas[0].says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+    replicas[0].extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         for number in range(6):
             await ask(node, '/plan/x', identity=f'c-{number}')
@@ -131,7 +131,7 @@
     """A replica gets no more requests after its backoff is over."""
     replicas = make_non_model_replicas(2)
     replicas[0].refuse = 503
-    replicas[0].says = {'Retry-After': '0.4'}
+    replicas[0].extra_headers = {'Retry-After': '0.4'}
     async with run_node(replicas) as node:
         await _send_for(node, '/ping/x', 1)
         replicas[0].refuse = 0
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -27,13 +27,13 @@
 ) -> AsyncIterator[list[RunningNode]]:
     """Run three nodes and replicas that one particular request crashes."""
     for replica in replicas:
-        replica.ends_on = _CRASHING
+        replica.crash_on = _CRASHING
     async with run_nodes(replicas, 3) as nodes:
         yield nodes
 
 
 def _list_crashed(replicas: list[ReplicaStandIn]) -> list[str]:
-    return [replica.name for replica in replicas if replica.ended]
+    return [replica.name for replica in replicas if replica.crashed]
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -34,7 +34,7 @@
     **changes: Any,
 ) -> AsyncIterator[RunningNode]:
     for replica in replicas:
-        replica.ends_on = _CRASHING
+        replica.crash_on = _CRASHING
     accounts = [
         {'name': 'ward-1', 'apiKeys': [KEY]},
         {'name': 'ward-2', 'apiKeys': [_OTHER_KEY]},
@@ -52,7 +52,7 @@
 
 
 def _count_crashed(node: RunningNode) -> int:
-    return sum(replica.ended for replica in node.replicas.values())
+    return sum(replica.crashed for replica in node.replicas.values())
 
 
 async def test_refusal_tells_that_it_did_not_run() -> None:
@@ -91,7 +91,7 @@
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
         for replica in node.replicas.values():
-            replica.ends_on = b''
+            replica.crash_on = b''
         status, _, _ = await ask(
             node, '/ping/x', content=_CRASHING, Api_Key=_OTHER_KEY
         )
@@ -122,7 +122,7 @@
         await _crash_three(node)
         await wait_until(lambda: peer.count('request-quarantined'))
         for replica in node.replicas.values():
-            replica.ends_on = b''
+            replica.crash_on = b''
         node.store.drop(_KIND, _DIGEST)
         await wait_until(lambda: node.count('request-released'))
         await wait_until(lambda: peer.count('request-released'))
@@ -193,7 +193,7 @@
         for _ in range(3):
             running = await _find_running(replicas)
             await asyncio.sleep(0.6)
-            await running.end()
+            await running.crash()
         status, body, _ = await asking
         assert (status, body.count(b'id: ')) == (200, 40)
         assert not node.count('request-suspected')
@@ -251,10 +251,10 @@
                 )
                 assert status == 200
             for replica in replicas:
-                replica.ends_on = b'question'
+                replica.crash_on = b'question'
             await ask(node, '/book/x', identity=f'lost-{loss}')
             for replica in replicas:
-                replica.ends_on = b''
+                replica.crash_on = b''
         assert _count_crashed(node) == 4
         assert not node.count('request-suspected')
         assert not node.count('request-quarantined')
--- a/tests/platform/test_replica_restarts.py
+++ b/tests/platform/test_replica_restarts.py
@@ -15,7 +15,7 @@
 def _list_commands(node: RunningNode, name: str) -> list[tuple[int, int]]:
     return [
         (command['from'], command['to'])
-        for command in node.replicas[name].orders
+        for command in node.replicas[name].commands
         if command['op'] == 'place'
     ]
 
@@ -28,13 +28,13 @@
     and commands it to load them again.
     """
     replicas = make_model_replicas((0, 8))
-    replicas[0].born = 1000
+    replicas[0].started_at = 1000
     async with run_node(replicas) as node:
-        node.replicas['m-0'].start_again()
+        node.replicas['m-0'].restart()
         status, _, _ = await ask(node, '/plan/x')
         assert status == 503
         await wait_until(lambda: _list_commands(node, 'm-0'), 5)
-        command = node.replicas['m-0'].orders[0]
+        command = node.replicas['m-0'].commands[0]
         assert command['expect'] == 0
         await wait_until(lambda: node.count('replica-listed') >= 3)
         _, body, _ = await ask(node, '/plan/x', identity='r-2')
--- a/tests/platform/test_stream_migration.py
+++ b/tests/platform/test_stream_migration.py
@@ -28,7 +28,9 @@
 
 
 def _list_moves(replica: ReplicaStandIn) -> list[str]:
-    return [command['path'] for command in replica.orders if 'path' in command]
+    return [
+        command['path'] for command in replica.commands if 'path' in command
+    ]
 
 
 async def test_streams_leave_a_replica_that_leaves() -> None:
@@ -112,7 +114,7 @@
         first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         first_replica.stall_after = 2
-        first_replica.stalled_on = lost.address
+        first_replica.stalled_address = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
             await asyncio.sleep(0.3)
@@ -196,7 +198,7 @@
         first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         first_replica.stall_after = 2
-        first_replica.stalled_on = lost.address
+        first_replica.stalled_address = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
             # Longer than a stream waits for a repair that is due soon.
@@ -221,7 +223,7 @@
         replicas = list(node.replicas.values())
         for replica in replicas:
             replica.stall_after = 2
-            replica.stalled_on = replicas[1].address
+            replica.stalled_address = replicas[1].address
         replicas[2].stalls = 0
         async with open_request(node, '/plan/x') as response:
             while budget.spend():
--- a/tests/platform/test_views.py
+++ b/tests/platform/test_views.py
@@ -63,13 +63,13 @@
     stays accepted, and a replica that has left gets requests.
     """
     async with run_node(make_non_model_replicas(2)) as node:
-        node.store.deaf = True
+        node.store.hide_changes = True
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
             'config', 'main', make_configuration(7, tenants=accounts)
         )
         node.store.drop('servers', 'b-0')
-        node.store.deaf = False
+        node.store.hide_changes = False
         node.store.forget_history()
         await wait_until(lambda: node.count('configuration-applied') == 2)
         await wait_until(lambda: node.count('replica-gone') == 1)
@@ -98,11 +98,11 @@
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT_SECONDS', 0.2)
     async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
-        node.store.deaf = True
+        node.store.hide_changes = True
         node.store.drop('servers', 'b-0')
         node.store.mode = 'busy'
         await wait_until(lambda: node.count('store-out'))
-        node.store.deaf = False
+        node.store.hide_changes = False
         node.store.mode = 'ok'
         await wait_until(lambda: node.count('store-back'))
         # The entry expired during an outage, so it is kept for 2 s.
@@ -122,11 +122,11 @@
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT_SECONDS', 0.2)
     async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
-        node.store.deaf = True
+        node.store.hide_changes = True
         node.store.drop('servers', 'b-0')
         node.store.mode = 'silent'
         await wait_until(lambda: node.count('store-out'))
-        node.store.deaf = False
+        node.store.hide_changes = False
         node.store.mode = 'ok'
         await wait_until(lambda: node.count('replica-gone'))
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -240,11 +240,11 @@
             await response.content.readuntil(b'token 1\n\n')
             sent = node.find('exchange-sent')['path']
             lost = node.replicas[sent[1][0]]
-            first_replica.stalled_on = lost.address
+            first_replica.stalled_address = lost.address
             rest = await response.read()
         assert rest.endswith(b'data: token 5\n\n')
         moved = next(
-            order for order in first_replica.orders if order['op'] == 'repath'
+            order for order in first_replica.commands if order['op'] == 'repath'
         )
         assert moved['id'] == 'r-1'
         assert lost.address not in moved['path']
--- a/tests/soak/asking.py
+++ b/tests/soak/asking.py
@@ -43,7 +43,7 @@
         """Send more to a limited replica than its limit, after the recovery."""
         loop = asyncio.get_running_loop()
         replica = self.random_source.choice(self._list_non_model())
-        replica.says = {'Server-Limit': f'{LIMIT_PER_SECOND}'}
+        replica.extra_headers = {'Server-Limit': f'{LIMIT_PER_SECOND}'}
         self.world.limited_replica = (replica.name, loop.time())
         async with ClientSession() as http, asyncio.TaskGroup() as group:
             deadline = loop.time() + _OVERLOAD_SECONDS
@@ -51,7 +51,7 @@
                 node = self.random_source.choice(self.world.nodes)
                 group.create_task(self.clients.send(http, node, 'ping', KEY))
                 await asyncio.sleep(_PAUSE_SECONDS)
-        replica.says = {}
+        replica.extra_headers = {}
 
     async def stop(self) -> None:
         """Stop the changes, and clear the headers of all replicas."""
@@ -59,7 +59,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for replica in self.world.replicas:
-            replica.says = {}
+            replica.extra_headers = {}
 
     def _list_non_model(self) -> list[ReplicaStandIn]:
         registered = self.world.list_registered()
@@ -71,14 +71,14 @@
             await episode(replica)
 
     async def _limit(self, replica: ReplicaStandIn) -> None:
-        replica.says = {
+        replica.extra_headers = {
             'Server-Limit': f'{self.random_source.uniform(0, 9):.2f}'
         }
         await asyncio.sleep(self.random_source.uniform(*_EPISODE_SECONDS))
-        replica.says = {}
+        replica.extra_headers = {}
 
     async def _back_off(self, replica: ReplicaStandIn) -> None:
-        replica.says = {
+        replica.extra_headers = {
             'Retry-After': f'{self.random_source.uniform(0, 3):.2f}'
         }
         replica.refuse = 503
@@ -87,4 +87,4 @@
         finally:
             # Also on cancellation; the replica would refuse for ever.
             replica.refuse = 0
-        replica.says = {}
+        replica.extra_headers = {}
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -108,7 +108,7 @@
     During the faults a node may receive no reports of the crashes; after the
     recovery, all nodes have them.
     """
-    crash_count = sum(replica.ended for replica in world.replicas)
+    crash_count = sum(replica.crashed for replica in world.replicas)
     late_runs = [
         run
         for _, run in _list_runs(world)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -88,9 +88,9 @@
     elif kind == 'forget':
         store.forget_history()
     elif kind == 'deaf':
-        store.deaf = True
+        store.hide_changes = True
         await asyncio.sleep(world.random_source.uniform(0.1, 1))
-        store.deaf = False
+        store.hide_changes = False
         store.forget_history()
     else:
         store.mode = kind
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,7 +16,12 @@
 
 from aiohttp import ClientError, ClientSession, web
 
-from fleet.running import KEY, make_configuration, make_model_replicas, make_non_model_replicas
+from fleet.running import (
+    KEY,
+    make_configuration,
+    make_model_replicas,
+    make_non_model_replicas,
+)
 from soak.links import Link
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn
@@ -157,7 +162,7 @@
         link = await self._open_link(replica.make_app())
         self.links[replica.name] = link
         replica.stop_listening = link.close
-        replica.ends_on = CRASHING_BODY
+        replica.crash_on = CRASHING_BODY
         replica.address = link.address
         self.replicas.append(replica)
         replica.register()
--- a/tests/soak_tests/test_checks.py
+++ b/tests/soak_tests/test_checks.py
@@ -28,7 +28,9 @@
     world = World(random.Random(1), ObjectStore())
     replica = ReplicaStandIn('b-0', 'booking')
     world.replicas.append(replica)
-    body = make_event_stream(STREAM_EVENTS) if kind == 'plan' else b'answer of b-0'
+    body = (
+        make_event_stream(STREAM_EVENTS) if kind == 'plan' else b'answer of b-0'
+    )
     attempt = Attempt('r-1', kind, KEY, 1, 200, True, 'signed-b-0', body)
     replica.runs.append(_make_run(attempt))
     clients = Clients(world, [attempt])
--- a/tests/standins/objects.py
+++ b/tests/standins/objects.py
@@ -14,14 +14,14 @@
     :param mode: ``ok``, ``busy`` (each call gets 503) or ``silent`` (none gets
         an answer).
     :param lose_answers: number of next writes that take effect without answer.
-    :param deaf: whether watches report no changes.
+    :param hide_changes: whether watches report no changes.
     :param calls: method and path of each call.
     """
 
     def __init__(self) -> None:
         self.mode = 'ok'
         self.lose_answers = 0
-        self.deaf = False
+        self.hide_changes = False
         self.calls: list[str] = []
         self.revision = 0
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
@@ -116,16 +116,18 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + int(request.query['waitMs']) / 1000
         while True:
-            if since < self._history_start and not self.deaf:
+            if since < self._history_start and not self.hide_changes:
                 return web.json_response({'at': self.revision}, status=410)
             events = [
                 event
                 for revision, changed_kind, event in self._history
-                if revision > since and changed_kind == kind and not self.deaf
+                if revision > since
+                and changed_kind == kind
+                and not self.hide_changes
             ]
             remaining = deadline - loop.time()
             if events or remaining <= 0:
-                at = since if self.deaf else self.revision
+                at = since if self.hide_changes else self.revision
                 return web.json_response({'events': events, 'at': at})
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._changed.wait(), remaining)
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -45,7 +45,7 @@
     :param stall_after: number of the event after which a stream stalls until
         it is moved to another path.
     :param stalls: number of next streams that stall.
-    :param stalled_on: address of the replica that the report then names as
+    :param stalled_address: address of the replica that the report then names as
         the cause.
     :param refuse: status of refusals, each with the "not run" header.
     :param fail: status with which it fails requests; 0 for none.
@@ -54,16 +54,16 @@
     :param other_identity: whether it answers with another request's id.
     :param unframed_part: whether it sends a partial answer without a length,
         and resets the connection.
-    :param ends_on: body of a request that crashes it, after the head of a
+    :param crash_on: body of a request that crashes it, after the head of a
         stream's answer was sent; its address refuses connections from then on.
-    :param ended: whether it has crashed.
-    :param says: additional headers of all its answers.
+    :param crashed: whether it has crashed.
+    :param extra_headers: additional headers of all its answers.
     :param refusals: times of its refusals, by the event loop's clock.
     :param reports: number of reports that nodes requested.
-    :param born: start of its incarnation as reported, in milliseconds;
+    :param started_at: start of its incarnation as reported, in milliseconds;
         0 if it reports none.
     :param runs: requests that it received and didn't refuse.
-    :param orders: commands that it received.
+    :param commands: commands that it received.
     :param sequence: number of commands that changed its layers.
     :param fence: fencing number of the last of them.
     :param stop_listening: makes its address refuse connections.
@@ -79,22 +79,22 @@
     break_after: int = 0
     stall_after: int = 0
     stalls: int = 1
-    stalled_on: str = ''
+    stalled_address: str = ''
     refuse: int = 0
     fail: int = 0
     failures: int = 0
     hang: bool = False
     other_identity: bool = False
     unframed_part: bool = False
-    ends_on: bytes = b''
-    ended: bool = False
-    says: dict[str, str] = field(default_factory=dict)
+    crash_on: bytes = b''
+    crashed: bool = False
+    extra_headers: dict[str, str] = field(default_factory=dict)
     refusals: list[float] = field(default_factory=list)
     reports: int = 0
     address: str = ''
-    born: int = 0
+    started_at: int = 0
     runs: list[Run] = field(default_factory=list)
-    orders: list[dict[str, Any]] = field(default_factory=list)
+    commands: list[dict[str, Any]] = field(default_factory=list)
     sequence: int = 0
     fence: int = 0
     store: ObjectStore | None = None
@@ -116,8 +116,8 @@
             'version': 'v1',
             'coldRemainingMs': 0,
         }
-        if self.born:
-            entry['born'] = self.born
+        if self.started_at:
+            entry['born'] = self.started_at
         if self.accelerator:
             entry['routeKind'] = self.accelerator
             entry['layers'] = self._encode_layers()
@@ -126,11 +126,11 @@
     @property
     def streams(self) -> int:
         """Number of requests that it is running."""
-        return 0 if self.ended else len(self._transports)
+        return 0 if self.crashed else len(self._transports)
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """Crash like a process: stop listening and reset all connections."""
-        self.ended = True
+        self.crashed = True
         assert self.stop_listening is not None
         await self.stop_listening()
         for transport in tuple(self._transports):
@@ -149,14 +149,14 @@
         app.router.add_route('*', '/{path:.*}', self._serve)
         return app
 
-    def start_again(self, name: str = '') -> None:
+    def restart(self, name: str = '') -> None:
         """Restart as a new incarnation without layers and counters.
 
         :param name: name of the new incarnation, if it differs.
         """
         self.name = name or self.name
-        self.born += 1000
-        self.ended = False
+        self.started_at += 1000
+        self.crashed = False
         self.layers = None
         self.sequence = 0
         self.fence = 0
@@ -169,7 +169,7 @@
         return {'from': start, 'to': stop, 'version': 1}
 
     async def _report(self, request: web.Request) -> web.Response:
-        if self.ended:
+        if self.crashed:
             assert request.transport is not None
             request.transport.abort()
         self.reports += 1
@@ -183,13 +183,13 @@
                 'seq': self.sequence,
                 'stalled': stalled,
                 'layers': self._encode_layers(),
-                'born': self.born,
+                'born': self.started_at,
             }
         )
 
     async def _handle_command(self, request: web.Request) -> web.Response:
         command = await request.json()
-        self.orders.append(command)
+        self.commands.append(command)
         if command['op'] == 'repath':
             self.resume()
             return web.json_response({}, status=202)
@@ -206,7 +206,7 @@
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         transport = request.transport
         assert transport is not None
-        if self.ended:
+        if self.crashed:
             transport.abort()
             return web.Response()
         self._transports.add(transport)
@@ -260,7 +260,7 @@
     async def _run(self, request: web.Request, run: Run) -> web.StreamResponse:
         if self.hang:
             await asyncio.Event().wait()
-        if self.ends_on and run.body == self.ends_on:
+        if self.crash_on and run.body == self.crash_on:
             return await self._crash_during(request, run)
         headers = self._make_signed_headers(
             'other' if self.other_identity else run.identity
@@ -287,7 +287,7 @@
         if 'X-Ryelatch-Hop-Count' in run.headers:
             await response.prepare(request)
         await asyncio.sleep(self.pause)
-        await self.end()
+        await self.crash()
         return response
 
     async def _reset_unframed(
@@ -334,11 +334,11 @@
     async def _stall_if_set(self, run: Run, number: int) -> None:
         if self.stall_after and self.stalls and number > self.stall_after:
             self.stalls -= 1
-            self._stalled[run.identity] = self.stalled_on
+            self._stalled[run.identity] = self.stalled_address
             await self._moved.wait()
 
     def _make_headers(self, identity: str) -> dict[str, str]:
-        return {'X-Ryelatch-Request-Id': identity, **self.says}
+        return {'X-Ryelatch-Request-Id': identity, **self.extra_headers}
 
     def _make_signed_headers(self, identity: str) -> dict[str, str]:
         signature = f'signed-{self.name}'
