--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 
 from fleet.running import make_event_stream
-from soak.asking import LIMIT_NOTICE_SECONDS, LIMIT_PER_SECOND, WINDOW_SECONDS
+from soak.throttling import LIMIT_NOTICE_SECONDS, LIMIT_PER_SECOND, WINDOW_SECONDS
 from soak.clients import Attempt, Clients
 from soak.crashing import CRASHING_KINDS, compute_digest
 from soak.world import CRASHING_BODY, SPARE_KEY, STREAM_EVENTS, World
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from fleet.running import KEY
-from soak.asking import ThrottledReplicas
+from soak.throttling import ThrottledReplicas
 from soak.checks import list_violations
 from soak.clients import Clients
 from soak.crashing import CrashingClient
