--- a/packages/ryelatch-cli/src/ryelatch_cli/main.py
+++ b/packages/ryelatch-cli/src/ryelatch_cli/main.py
@@ -95,7 +95,11 @@
 
 
 def run() -> None:
-    """Parse the arguments and run the command."""
+    """Parse the arguments, run the command and exit the process if it fails.
+
+    An interrupt from the keyboard exits with the code of a refusal, although
+    the command may have sent a change before the interrupt.
+    """
     arguments = cappa.parse(Main)
     context = Context(
         arguments.platform_url,
--- a/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/events/_explanation.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 LOOKBACK_SECONDS = 3.0
-"""How long before a request changes of state are considered relevant.
+"""Time before a request in which a state change may explain its outcome.
 
-An outage of the store affects requests three seconds later at the latest.
+An outage of the store affects requests within three seconds.
 """
 
 _STATE_CHANGES = frozenset(
@@ -46,7 +46,10 @@
 _QUARANTINE_EVENTS = frozenset(
     ('request-suspected', 'request-quarantined', 'request-released')
 )
-"""Events about all requests with the same digest, at any process."""
+"""Events that concern all requests with the same content, at any process.
+
+Requests have the same digest if their content is the same.
+"""
 
 _CAUSES = MappingProxyType(
     {
@@ -95,7 +98,7 @@
     :param lines: lines of the request itself, in order of time.
     :param state_changes: lines about state changes of the same process shortly
         before and during the request, and about replicas that crashed on
-        requests with the same digest.
+        requests with the same digest, that is, with the same content.
     :param cause: likely cause of the outcome, in a sentence.
     """
 
@@ -111,17 +114,18 @@
         if start < 0:
             continue
         try:
-            found = json.loads(text[start:])
+            fields = json.loads(text[start:])
         except ValueError:
             continue
-        yield Line(found['time'], found['process'], found['name'], found)
+        yield Line(fields['time'], fields['process'], fields['name'], fields)
 
 
 def explain_request(lines: Iterable[Line], request: str) -> Explanation | None:
     """Explain the outcome of a request.
 
-    :param request: id of the request.
-    :returns: ``None`` if no line names the request.
+    :param lines: log lines of all processes, in any order.
+    :param request: ID of the request.
+    :returns: ``None`` if no line contains the ID.
     """
     ordered = sorted(lines, key=lambda line: line.time)
     request_lines = tuple(
@@ -138,9 +142,9 @@
             or _has_same_digest(line, request_lines)
         )
     )
-    cause = _find_cause(request_lines, state_changes) + _describe_missing(
-        request_lines
-    )
+    cause = _determine_cause(
+        request_lines, state_changes
+    ) + _describe_missing_entry(request_lines)
     return Explanation(request_lines, state_changes, cause)
 
 
@@ -149,19 +153,22 @@
     return (
         line.name in _STATE_CHANGES
         and line.time >= request_lines[0].time - LOOKBACK_SECONDS
-        and line.process in {one.process for one in request_lines}
+        and line.process
+        in {request_line.process for request_line in request_lines}
     )
 
 
 def _has_same_digest(line: Line, request_lines: tuple[Line, ...]) -> bool:
-    """Return whether a line is about crashes on requests of the same digest."""
-    digests = {one.detail.get('digest') for one in request_lines} - {None, ''}
+    """Return whether a line is about crashes on requests with this content."""
+    digests = {
+        request_line.detail.get('digest') for request_line in request_lines
+    } - {None, ''}
     return (
         line.name in _QUARANTINE_EVENTS and line.detail.get('digest') in digests
     )
 
 
-def _find_cause(
+def _determine_cause(
     request_lines: tuple[Line, ...], state_changes: tuple[Line, ...]
 ) -> str:
     reasons = [
@@ -172,31 +179,39 @@
     if reasons:
         reason = reasons[-1].partition(',')[0]
         return _add_last_change(_CAUSES.get(reason, reasons[-1]), state_changes)
-    failed = [line for line in request_lines if line.name == 'exchange-failed']
+    failures = [
+        line for line in request_lines if line.name == 'exchange-failed'
+    ]
     last = request_lines[-1].name
     if last == 'exchange-left':
         return 'the client closed its connection'
-    if failed:
-        where = failed[-1].detail
-        what = where.get('reason') or f'status {where.get("status")}'
-        message = f'replica {where.get("replica")} failed the attempt: {what}'
+    if failures:
+        detail = failures[-1].detail
+        fault = detail.get('reason') or f'status {detail.get("status")}'
+        message = f'replica {detail.get("replica")} failed the attempt: {fault}'
         return _add_last_change(message, state_changes)
     if last == 'exchange-ended':
         return 'it was answered'
     return 'its outcome is not in these lines'
 
 
-def _describe_missing(request_lines: tuple[Line, ...]) -> str:
-    """Describe for how long the entry of a chosen replica was missing.
+def _describe_missing_entry(request_lines: tuple[Line, ...]) -> str:
+    """Describe how long a chosen replica had been missing from the store.
 
-    :returns: an empty string if no entry was missing.
+    A node continues to use a replica for some time after its registration
+    disappeared from the store.
+
+    :returns: an empty string if all chosen replicas were registered.
     """
-    seconds = max(
+    missing_seconds = max(
         (line.detail.get('missing', 0) for line in request_lines), default=0
     )
-    if not seconds:
+    if not missing_seconds:
         return ''
-    return f'; it was sent to a replica whose entry was missing for {seconds} s'
+    return (
+        '; it was sent to a replica whose entry was missing for '
+        f'{missing_seconds} s'
+    )
 
 
 def _add_last_change(cause: str, state_changes: tuple[Line, ...]) -> str:
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_answer.py
@@ -83,7 +83,7 @@
         self._chunks: list[tuple[int, int]] = []
         self._known_tokens: tuple[int, ...] = ()
         self._open_steps: dict[StepKey, int] = {}
-        self._returned = 0
+        self._returned_count = 0
         self._progress = asyncio.Event()
 
     @property
@@ -102,8 +102,8 @@
         """Start an attempt: prefill all known tokens on a new chain.
 
         Each attempt builds the KV cache of every layer anew under its own
-        number. So each cache entry that a token depends on was written
-        exactly once, whatever earlier attempts left in the engines.
+        attempt number. So each cache entry that a token depends on was
+        written exactly once, whatever earlier attempts left in the engines.
         """
         self.attempt += 1
         self.sent = True
@@ -125,17 +125,20 @@
             complete.
         :raises AnswerError: if the answer can't be completed.
         """
-        while self._returned == len(self.tokens) and not self.finished:
+        while self._returned_count == len(self.tokens) and not self.finished:
             self._progress.clear()
             await self._progress.wait()
-        new_tokens = self.tokens[self._returned :]
-        self._returned = len(self.tokens)
+        new_tokens = self.tokens[self._returned_count :]
+        self._returned_count = len(self.tokens)
         if not new_tokens and self.failure is not None:
             raise AnswerError(self.failure)
         return new_tokens
 
     def fail(self, failure: Failure) -> None:
-        """Stop with an incomplete answer."""
+        """Stop with an incomplete answer.
+
+        :param failure: the error that the client receives.
+        """
         self.failure = failure
         self.cancel()
         self._progress.set()
@@ -152,7 +155,7 @@
         self._links = ()
 
     def runs_on(self, engine: str) -> bool:
-        """Tell whether the current attempt runs on an engine."""
+        """Return whether the current attempt runs on an engine."""
         return any(link.vm.name == engine for link in self._links)
 
     def move_off(self, engine: str) -> None:
@@ -180,10 +183,13 @@
             self._fail_attempt(stage, reason)
 
     def _finish_step(self, step: Step) -> bool:
-        """Remove a step, and tell whether the current attempt sent it.
+        """Remove a step that an engine has responded to.
 
         An engine that was paused can respond to a step of an earlier
         attempt; its token would be a second one for the same position.
+
+        :returns: whether the step is an open one of the current attempt, so
+            that the response must be handled.
         """
         if step.attempt != self.attempt or self.finished:
             return False
--- a/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/answers/_service.py
@@ -39,7 +39,7 @@
 class GenerationJob:
     """A validated request for an answer of a model.
 
-    :param request: identity of the request, unique over all nodes.
+    :param request: ID of the request, unique over all nodes.
     :param name: name of the model.
     :param prompt: tokens of the prompt.
     :param max_tokens: largest number of tokens to generate.
@@ -68,9 +68,9 @@
         self._budget = RetryBudget()
         self._tasks: set[asyncio.Task[None]] = set()
         self._engines_changed = asyncio.Event()
-        self._task: asyncio.Task[None] | None = None
-        app.hub.connect(LinkChanged, lambda _: self._wake_waiting())
-        app.hub.connect(RosterChanged, lambda _: self._wake_waiting())
+        self._latency_task: asyncio.Task[None] | None = None
+        app.hub.connect(LinkChanged, lambda _: self._notify_engines_changed())
+        app.hub.connect(RosterChanged, lambda _: self._notify_engines_changed())
 
     @property
     def running(self) -> int:
@@ -79,11 +79,11 @@
 
     async def start(self) -> None:
         """Start checking for engines that have become slow."""
-        self._task = asyncio.create_task(self._watch_latency())
+        self._latency_task = asyncio.create_task(self._watch_latency())
 
     async def stop(self) -> None:
         """Stop checking for slow engines."""
-        await cancel_task(self._task)
+        await cancel_task(self._latency_task)
 
     def open(self, job: GenerationJob) -> Answer:
         """Start an answer; the caller must close it after reading."""
@@ -92,7 +92,7 @@
             job.prompt,
             job.max_tokens,
             job.priority,
-            self._recover,
+            self._retry_attempt,
         )
         self._jobs[job.request] = job
         self._answers[job.request] = answer
@@ -110,9 +110,12 @@
     def _make_failure(self, answer: Answer, code: str) -> Failure:
         """Make the error for a client whose answer can't be completed.
 
-        If no step was sent, it is certain that no engine ran anything. The
-        jitter of the retry delay spreads the retries of clients that were
-        cut off at the same time.
+        The outcome is ``not-run`` only if no step was sent to an engine;
+        otherwise an engine may have run a part of the request. The retry delay
+        contains jitter, because many answers can fail at the same time, and
+        their clients would otherwise retry at the same time.
+
+        :param code: code of the error that the client receives.
         """
         jitter = _MAX_JITTER_SECONDS * self._app.random_source.random()
         return Failure(
@@ -124,7 +127,7 @@
             'server_error',
         )
 
-    def _recover(self, answer: Answer, failed: StageFailure) -> None:
+    def _retry_attempt(self, answer: Answer, failed: StageFailure) -> None:
         self._timeline.record(
             catalogue.CHAIN_LOST,
             request=answer.stream,
@@ -175,37 +178,39 @@
         job: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
-        """Find a chain, or wait until engines make one possible.
+        """Choose a chain, or wait until the available engines form one.
 
-        :returns: nothing if there is no chain in time.
+        :param avoided: names of engines to use only if there is no chain
+            without them.
+        :returns: ``None`` if no chain is available in time.
         """
         loop = asyncio.get_running_loop()
-        expires = loop.time() + min(MAX_CHAIN_WAIT_SECONDS, job.deadline)
+        chain_deadline = loop.time() + min(MAX_CHAIN_WAIT_SECONDS, job.deadline)
         while True:
             self._engines_changed.clear()
-            chain = self._find_chain(job, avoided)
+            chain = self._choose_chain(job, avoided)
             if chain is None and avoided:
                 # The engine that failed may be the only one with its layers,
                 # for example after an immediate restart.
-                chain = self._find_chain(job, frozenset())
+                chain = self._choose_chain(job, frozenset())
             if chain is not None:
                 return chain
-            remaining = expires - loop.time()
-            if remaining <= 0:
+            time_left = chain_deadline - loop.time()
+            if time_left <= 0:
                 return None
             try:
-                await asyncio.wait_for(self._engines_changed.wait(), remaining)
+                await asyncio.wait_for(self._engines_changed.wait(), time_left)
             except TimeoutError:
                 return None
 
-    def _find_chain(
+    def _choose_chain(
         self,
         job: GenerationJob,
         avoided: frozenset[str],
     ) -> Chain | None:
         links = self._upstreams.list_engines(job.name)
         now = asyncio.get_running_loop().time()
-        typical = _find_typical_latencies(links, now)
+        typical = _compute_typical_latencies(links, now)
         candidates = [
             self._make_candidate(link, typical[_layer_range(link)], now)
             for link in links
@@ -253,7 +258,7 @@
             links = [
                 link for link in self._upstreams.links.values() if link.usable
             ]
-            typical = _find_typical_latencies(links, now)
+            typical = _compute_typical_latencies(links, now)
             for link in links:
                 if link.latency_tracker.is_slow(
                     typical[_layer_range(link)], now
@@ -269,7 +274,7 @@
         ]
         for answer in affected:
             job = self._jobs[answer.stream]
-            alternative = self._find_chain(job, frozenset((name,)))
+            alternative = self._choose_chain(job, frozenset((name,)))
             if alternative is None or not self._budget.spend():
                 return
             self._timeline.record(
@@ -280,7 +285,7 @@
             )
             answer.move_off(name)
 
-    def _wake_waiting(self) -> None:
+    def _notify_engines_changed(self) -> None:
         self._engines_changed.set()
 
 
@@ -288,11 +293,11 @@
     return (link.hello.first, link.hello.last) if link.hello else (0, 0)
 
 
-def _find_typical_latencies(
+def _compute_typical_latencies(
     links: list[EngineLink],
     now: float,
 ) -> dict[tuple[int, int], float]:
-    """Find the typical step latency for each range of layers."""
+    """Compute the typical step latency for each range of layers."""
     by_range: dict[tuple[int, int], list[LatencyTracker]] = {}
     for link in links:
         by_range.setdefault(_layer_range(link), []).append(link.latency_tracker)
--- a/packages/ryelatch-node/src/ryelatch_node/non_model/_claims.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/_claims.py
@@ -31,7 +31,7 @@
 
 
 class RecordState(enum.StrEnum):
-    """State of the request that a key was claimed for."""
+    """State of the request that an idempotency key was claimed for."""
 
     CLAIMED = 'claimed'
     """The node that claimed the key may have sent the request."""
@@ -55,6 +55,9 @@
     :param fingerprint: hash of the request; a different request must not use
         the same key.
     :param until: epoch seconds after which the record may be deleted.
+    :param status: HTTP status of the answer; 0 if there is no answer.
+    :param headers: headers of the answer.
+    :param body: body of the answer.
     :param whole: whether the body was stored; it is left out if too large.
     """
 
@@ -71,9 +74,9 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A claim that this node holds.
+    """A claim of an idempotency key that this node holds.
 
-    :param key: name of the record in the store.
+    :param key: name of the record in the store, see :func:`make_claim_key`.
     :param version: of the record in the store, for conditional writes.
     """
 
@@ -83,7 +86,7 @@
 
 
 class ClaimError(enum.Enum):
-    """Why a key could not be claimed."""
+    """Why an idempotency key could not be claimed."""
 
     STORE_OUT = 'store-out'
     MISMATCH = 'mismatch'
@@ -127,7 +130,7 @@
         keep: float,
         timeout: float,
     ) -> Result[Claimed, ClaimError]:
-        """Claim a key, or find the outcome of the request that claimed it.
+        """Claim an idempotency key, or get the answer to an earlier request.
 
         :param key: name of the record in the store.
         :param fingerprint: hash of the request.
@@ -135,47 +138,52 @@
         :param timeout: seconds to wait for the outcome of a request in
             progress with the same key.
         :returns: a claim, with which the request may be sent once, or the
-            record with the answer to an earlier request.
+            record with the answer to an earlier request with the same key.
         """
         until = self._app.clock.wall() + keep
-        proposed = Record(
+        new_record = Record(
             uuid.uuid4().hex, self._node, fingerprint, until=until
         )
         deadline = self._app.clock.monotonic() + timeout
-        entry = await self._create(key, proposed)
+        entry = await self._create(key, new_record)
         if entry is None:
             self._timeline.record(catalogue.CLAIM_FAILED, key=key)
-            self._spawn(self._release_unconfirmed(key, proposed))
+            self._spawn(self._release_unconfirmed(key, new_record))
             return Err(ClaimError.STORE_OUT)
-        return await self._resolve_entry(key, proposed, entry, deadline)
+        return await self._resolve_entry(key, new_record, entry, deadline)
 
     def settle(self, claim: Claim, record: Record) -> None:
-        """Record an outcome, and retry while the store is unavailable."""
+        """Record an outcome in the background.
+
+        The write is retried for some time while the store is unavailable.
+        """
         self._spawn(self._write_outcome(claim, record))
 
     def release(self, claim: Claim) -> None:
-        """Release a key whose request was certainly not sent."""
+        """Release a key whose request was certainly not sent to an upstream."""
         self.settle(claim, replace(claim.record, state=RecordState.RELEASED))
 
-    async def _create(self, key: str, proposed: Record) -> Entry | None:
+    async def _create(self, key: str, new_record: Record) -> Entry | None:
         """Create a record, or read the existing one.
 
-        A write that got no reply, and whose record is not found afterwards, may
-        still take effect later. So it is sent again: whichever of the two takes
-        effect first carries this claim's mark, and the other fails because the
-        record exists.
+        A write without a reply may take effect after the following read found
+        no record. So the same record is written again. The write that takes
+        effect first creates the record, with the mark in ``new_record``; the
+        other write fails, because the record exists.
 
-        :returns: the entry in the store; nothing if the store is unavailable.
+        :returns: the new or the existing entry; ``None`` if the store is
+            unavailable, or if no attempt created or read a record. In both
+            cases a write may still take effect.
         """
-        body = _encode(proposed)
+        body = _encode(new_record)
         for _ in range(_CLAIM_ATTEMPTS):
             written = await self._store.create(key, body)
             if written.is_ok():
                 return Entry(body, written.unwrap().version)
-            found = await self._store.get(key)
-            if found.is_ok():
-                return found.unwrap()
-            if found.unwrap_err() is StoreError.UNAVAILABLE:
+            stored = await self._store.get(key)
+            if stored.is_ok():
+                return stored.unwrap()
+            if stored.unwrap_err() is StoreError.UNAVAILABLE:
                 return None
         return None
 
@@ -186,18 +194,24 @@
     async def _resolve_entry(
         self,
         key: str,
-        proposed: Record,
+        new_record: Record,
         entry: Entry,
         deadline: float,
     ) -> Result[Claimed, ClaimError]:
-        """Decide from the record in the store how to handle a request."""
+        """Decide from the record in the store how to handle a request.
+
+        :param new_record: record with which this node claims the key if it can.
+        :param entry: the record in the store.
+        :param deadline: when to stop waiting for a request in progress with
+            the same key, in monotonic seconds.
+        """
         existing = _decode(entry)
-        if existing.mark == proposed.mark:
-            return Ok(self._make_claim(key, proposed, entry.version))
-        if existing.fingerprint != proposed.fingerprint:
+        if existing.mark == new_record.mark:
+            return Ok(self._make_claim(key, new_record, entry.version))
+        if existing.fingerprint != new_record.fingerprint:
             return Err(ClaimError.MISMATCH)
         if existing.state is RecordState.RELEASED:
-            return await self._take_over(key, proposed, entry, deadline)
+            return await self._take_over(key, new_record, entry, deadline)
         self._timeline.record(
             catalogue.CLAIM_FOUND, key=key, state=existing.state
         )
@@ -205,12 +219,12 @@
             return Ok(existing)
         if existing.state is RecordState.LOST:
             return Err(ClaimError.LOST)
-        changed = await self._wait_change(key, entry, deadline)
+        changed = await self._wait_for_change(key, entry, deadline)
         if changed is None:
             return Err(ClaimError.LOST)
-        return await self._resolve_entry(key, proposed, changed, deadline)
+        return await self._resolve_entry(key, new_record, changed, deadline)
 
-    async def _wait_change(
+    async def _wait_for_change(
         self,
         key: str,
         entry: Entry,
@@ -218,7 +232,8 @@
     ) -> Entry | None:
         """Wait until the holder of a claim changes its record.
 
-        :returns: nothing if the deadline passes or the store is unavailable.
+        :returns: the changed entry; ``None`` if the deadline passes or the
+            watch fails, because the store is unavailable or has no such record.
         """
         time_left = deadline - self._app.clock.monotonic()
         while time_left > 0:
@@ -235,21 +250,24 @@
     async def _take_over(
         self,
         key: str,
-        proposed: Record,
+        new_record: Record,
         entry: Entry,
         deadline: float,
     ) -> Result[Claimed, ClaimError]:
+        """Claim a key that another request released."""
         written = await self._store.update(
-            key, _encode(proposed), entry.version
+            key, _encode(new_record), entry.version
         )
         if written.is_ok():
-            return Ok(self._make_claim(key, proposed, written.unwrap().version))
-        found = await self._store.get(key)
-        if found.is_ok() and found.unwrap().version != entry.version:
+            return Ok(
+                self._make_claim(key, new_record, written.unwrap().version)
+            )
+        stored = await self._store.get(key)
+        if stored.is_ok() and stored.unwrap().version != entry.version:
             return await self._resolve_entry(
-                key, proposed, found.unwrap(), deadline
+                key, new_record, stored.unwrap(), deadline
             )
-        self._spawn(self._release_unconfirmed(key, proposed))
+        self._spawn(self._release_unconfirmed(key, new_record))
         return Err(ClaimError.STORE_OUT)
 
     async def _write_outcome(self, claim: Claim, record: Record) -> None:
@@ -271,25 +289,25 @@
             await asyncio.sleep(_RETRY_SECONDS)
         self._timeline.record(catalogue.CLAIM_FAILED, key=claim.key)
 
-    async def _release_unconfirmed(self, key: str, proposed: Record) -> None:
+    async def _release_unconfirmed(self, key: str, new_record: Record) -> None:
         """Release a key that an unanswered write may have claimed.
 
-        The client was answered ``not-run``. If the write took effect later, the
-        client's next retry would wait for a request that no node sends. Either
-        the record exists with this claim's mark and is released, or it does not
-        exist and is created as released; after that the lost write can't take
-        effect any more.
+        The client has received the outcome ``not-run``. If the write took
+        effect later, the client's next retry would wait for a request that no
+        node sends. If the record exists with the mark of ``new_record``, it is
+        changed to released. If no record exists, it is created as released,
+        so that the unanswered write can't take effect any more.
         """
-        released = _encode(replace(proposed, state=RecordState.RELEASED))
+        released = _encode(replace(new_record, state=RecordState.RELEASED))
         for _ in range(_OUTCOME_ATTEMPTS):
             created = await self._store.create(key, released)
             if created.is_ok():
                 return
-            found = await self._store.get(key)
-            if found.is_ok():
-                entry = found.unwrap()
+            stored = await self._store.get(key)
+            if stored.is_ok():
+                entry = stored.unwrap()
                 existing = _decode(entry)
-                if existing.mark != proposed.mark:
+                if existing.mark != new_record.mark:
                     return
                 if existing.state is RecordState.RELEASED:
                     return
@@ -310,8 +328,8 @@
                 _, key, version = self._expiring.popleft()
                 await self._store.delete(key, version)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/packages/ryelatch-node/src/ryelatch_node/non_model/_forward.py
+++ b/packages/ryelatch-node/src/ryelatch_node/non_model/_forward.py
@@ -112,6 +112,7 @@
     ) -> Result[Answer, Failure]:
         """Send a call, and retry it on other upstreams where that is safe.
 
+        :param service: service that the call is for, with its timeout.
         :param upstreams: candidates, in the order in which they are tried.
         """
         sent = False
@@ -204,6 +205,10 @@
 
 
 def _make_failure(*, sent: bool) -> Failure:
+    """Make the error for a client whose call got no answer.
+
+    :param sent: whether an upstream may have received any of the request.
+    """
     if sent:
         return Failure(
             HTTPStatus.GATEWAY_TIMEOUT,
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrap_client.py
@@ -58,11 +58,13 @@
             self.peer_available.set()
         return BootstrapReply(self.is_synced())
 
-    async def request_list(self, kind: str) -> StoreUpdate | None:
-        """Request all objects of a kind from the peer that made contact.
+    async def request_list(self, object_kind: str) -> StoreUpdate | None:
+        """Request all objects of a kind from the sender of the last message.
 
-        :returns: nothing if no peer has, or if the request fails; this node
-            then waits for a message from another peer.
+        :param object_kind: kind of object in the store.
+        :returns: ``None`` if no peer has sent a bootstrap message, or if the
+            request fails or the peer has no complete list. After a failure,
+            the next bootstrap message selects the peer for further requests.
         """
         peer = self._source
         if peer is None:
@@ -70,14 +72,14 @@
         sent = self.clock.monotonic()
         try:
             async with asyncio.timeout(CONNECT_SECONDS + LIST_SECONDS):
-                reply = await self._exchange(peer, ListRequest(kind))
+                reply = await self._exchange(peer, ListRequest(object_kind))
             changes = unpack(reply.packed)
         except REQUEST_ERRORS as error:
-            # Timeouts included.
-            self._abandon(peer, kind, type(error).__name__)
+            # REQUEST_ERRORS includes timeouts.
+            self._abandon(peer, object_kind, type(error).__name__)
             return None
         if not reply.known:
-            self._abandon(peer, kind, 'unknown')
+            self._abandon(peer, object_kind, 'unknown')
             return None
         unanswered = (
             None if reply.unanswered is None else sent - reply.unanswered
@@ -96,9 +98,12 @@
             connection.drop()
         return msgspec.msgpack.decode(body, type=ListReply)
 
-    def _abandon(self, peer: NodeEntry, kind: str, reason: str) -> None:
+    def _abandon(self, peer: NodeEntry, object_kind: str, reason: str) -> None:
         self._source = None
         self.peer_available.clear()
         self.log.record(
-            catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
+            catalogue.WATCHER_LEFT,
+            peer=peer.name,
+            kind_of=object_kind,
+            reason=reason,
         )
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
@@ -41,9 +41,10 @@
 class Bootstrapper:
     """Contacts the next node that can be reached, in the order of names.
 
-    It keeps a connection to that node, which breaks when the node's process
-    terminates. A loss of power doesn't break the connection, so the node is
-    contacted regularly while the store is unavailable.
+    It keeps a connection to that node. A connection that breaks shows that the
+    node's process has terminated and may restart. Because a loss of power
+    doesn't break the connection, the node is also contacted at regular
+    intervals while the store is unavailable.
 
     :param local_name: name of this node.
     :param list_nodes: lists all nodes, this one included.
@@ -105,7 +106,8 @@
                     BootstrapMessage(self.local_name, tuple(self.list_nodes())),
                 )
         except REQUEST_ERRORS:
-            # Timeouts included. The node may be down; the next may be up.
+            # REQUEST_ERRORS includes timeouts. This node may be down, and the
+            # next one may be running.
             self._drop()
             return False
         self.log.record(catalogue.NODE_GREETED, peer=peer.name)
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_cooldowns.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_cooldowns.py
@@ -7,17 +7,18 @@
 COOLDOWN_SECONDS = 6.0
 """How long a peer gets no request after it failed or its reply was too old.
 
-Without it, each watch would first wait for that peer before the request goes
-to the store, and the views would grow old meanwhile.
+Otherwise each watch would wait for that peer before the request is sent to the
+store, and this node's views would become outdated.
 """
 
-CUT_OFF_COOLDOWN_SECONDS = 0.5
-"""The same while neither that peer nor this node can reach the store.
+PARTITIONED_COOLDOWN_SECONDS = 0.5
+"""Cooldown of a peer while neither it nor this node can reach the store.
 
-A node that watches for others retries the store several times a second and is
-the first to notice its return. The other nodes wait for that by requests to
-it, rather than to the store. A peer that is the only one cut off or behind
-gets the normal cooldown.
+A node that watches the store for others retries it several times a second, so
+it is the first to notice that the store is available again. The other nodes
+send their requests to that node rather than to the store, and have to repeat
+them soon. If this node can reach the store, and only the peer is partitioned
+from it or behind, the peer gets the normal cooldown.
 """
 
 
@@ -56,7 +57,7 @@
         if failure is None:
             return False
         cooldown = (
-            CUT_OFF_COOLDOWN_SECONDS
+            PARTITIONED_COOLDOWN_SECONDS
             if failure.answered and store_out
             else COOLDOWN_SECONDS
         )
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -85,12 +85,13 @@
             while True:
                 await self._serve_request(reader, writer)
         except REQUEST_ERRORS:
-            # The peer is lost, or the client is not a peer. A peer retries, or
-            # sends its request to the store.
+            # The connection is lost, or the sender is not a peer. A peer
+            # retries, or sends its request to the store.
             return
         except asyncio.CancelledError:
-            # Only in stop(). Not raised again, as asyncio's callback for this
-            # task would report a cancelled one as an unhandled error.
+            # Only stop() cancels this task. The exception isn't raised again,
+            # because asyncio's callback for the task would report it as an
+            # unhandled error.
             return
         finally:
             self._tasks.discard(task)
@@ -152,12 +153,16 @@
     async def _make_watch_reply(
         self, request: WatchRequest, received: float
     ) -> WatchReply:
-        """Wait for changes of a kind, if this node follows that kind."""
+        """Wait for changes of a kind of object, and reply with them.
+
+        The reply contains no changes if none arrive in the requested time, or
+        if this node doesn't watch that kind.
+        """
         cache = self.caches.get(request.kind)
         if cache is None:
             return WatchReply(covered=False, age=UNKNOWN_AGE_SECONDS)
-        wait = min(MAX_WAIT_SECONDS, max(0, request.wait))
-        await cache.wait(request.since, received, wait)
+        wait_seconds = min(MAX_WAIT_SECONDS, max(0, request.wait))
+        await cache.wait(request.since, received, wait_seconds)
         now = self.clock.monotonic()
         return cache.make_reply(
             request.since, received, now, whole=request.whole
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -40,7 +40,7 @@
 from ryelatch_node.ports import Address, RelayStartup
 
 REPLY_SECONDS = 0.4
-"""Time allowed for a reply beyond its wait; enough for a slowed VM."""
+"""Time allowed for a reply beyond the requested wait; enough for a slow VM."""
 
 
 def _ignore_count(nodes: int) -> None:
@@ -54,9 +54,9 @@
     A reply of a peer is as reliable as one of the store. It contains the age
     of the peer's state, and the requester dates it from the time at which it
     sent the request, so that each side measures time by its own clock only. A
-    peer that is cut off from the store, unresponsive or behind gets no
-    requests during a cooldown, and the store is watched as if there were no
-    peers.
+    peer that is partitioned from the store, unresponsive or behind gets no
+    requests during a cooldown. If no other peer is available meanwhile, this
+    node watches the store itself.
 
     :param server: serves the requests of peers.
     :param required_kinds: kinds of object that this node requires to serve.
@@ -126,8 +126,8 @@
         await cancel_task(self._bootstrap_task)
         if self._listener is not None:
             self._listener.close()
-        for kind in tuple(self._connections):
-            self._drop(kind)
+        for object_kind in tuple(self._connections):
+            self._drop(object_kind)
         await self.server.stop()
 
     def update_nodes(self, nodes: Iterable[NodeEntry]) -> None:
@@ -136,7 +136,7 @@
 
     def reset(
         self,
-        kind: str,
+        object_kind: str,
         update: StoreUpdate,
         objects: Mapping[str, bytes],
     ) -> None:
@@ -146,29 +146,29 @@
         :param objects: content for peers that can't list at the store, by
             name.
         """
-        self._caches[kind].reset(update, objects)
+        self._caches[object_kind].reset(update, objects)
 
-    def apply_change(self, kind: str, name: str, change: Change) -> None:
-        """Apply a change to the objects that peers list here.
+    def apply_change(self, object_kind: str, name: str, change: Change) -> None:
+        """Apply a change to the objects that this node lists for peers.
 
-        Peers do so if they can't list at the store.
+        Peers that can't reach the store list the objects here instead.
 
-        :param name: of the object.
+        :param name: name of the object.
         """
         if change.deleted:
-            self._caches[kind].remove(name)
+            self._caches[object_kind].remove(name)
         else:
-            self._caches[kind].put(name, change.content)
+            self._caches[object_kind].put(name, change.content)
 
-    def record(self, kind: str, update: StoreUpdate) -> None:
+    def record(self, object_kind: str, update: StoreUpdate) -> None:
         """Record the result of a watch, from the store or from a peer."""
-        self._caches[kind].record(update)
+        self._caches[object_kind].record(update)
 
     async def request_changes(
         self,
-        kind: str,
+        object_kind: str,
         since: int,
-        wait: float,
+        wait_seconds: float,
         *,
         max_age: float,
         cut_off: bool,
@@ -176,29 +176,34 @@
         """Request the changes of a kind from a peer.
 
         :param since: revision of the store that this node has.
-        :param wait: seconds after which the peer replies without changes.
+        :param wait_seconds: time after which the peer replies without changes.
         :param max_age: maximum age of the peer's state, in seconds.
-        :param cut_off: whether the store is unavailable to this node; if so, a
-            node that watches for others sends requests to peers, too.
-        :returns: nothing if there is no peer to ask, if the request fails, or
-            if the reply can't be used.
+        :param cut_off: whether this node is partitioned from the store; if
+            so, a node that watches for others sends requests to peers, too.
+        :returns: the changes; or that the peer's state is older than
+            ``max_age``, if the peer has an unanswered call to the store;
+            ``None`` if no peer is available, if the request fails, or if the
+            reply is too old or lacks some of the changes.
         """
         peer = self._choose_peer(cut_off=cut_off)
         if peer is None:
             return None
         sent = self.clock.monotonic()
-        request = WatchRequest(kind, since, wait, cut_off)
+        request = WatchRequest(object_kind, since, wait_seconds, cut_off)
         try:
-            async with asyncio.timeout(wait + CONNECT_SECONDS + REPLY_SECONDS):
-                reply = await self._exchange(kind, peer, request)
+            async with asyncio.timeout(
+                wait_seconds + CONNECT_SECONDS + REPLY_SECONDS
+            ):
+                reply = await self._exchange(object_kind, peer, request)
             changes = unpack(reply.packed)
         except asyncio.CancelledError:
-            # The outstanding reply would be read as that to the next request.
-            self._drop(kind)
+            # Otherwise the outstanding reply would be read as the reply to
+            # the next request.
+            self._drop(object_kind)
             raise
         except REQUEST_ERRORS as error:
-            # Timeouts included: the peer may be unresponsive.
-            self._abandon(kind, peer, type(error).__name__)
+            # REQUEST_ERRORS includes timeouts: the peer may be unresponsive.
+            self._abandon(object_kind, peer, type(error).__name__)
             return None
         replied = sent + min(reply.waited, self.clock.monotonic() - sent)
         unanswered = (
@@ -211,7 +216,7 @@
                 reply.at, replied - reply.age, changes, unanswered, reply.out
             )
         reason = 'blind' if reply.out else 'behind'
-        self._abandon(kind, peer, reason, answered=True)
+        self._abandon(object_kind, peer, reason, answered=True)
         return None if unanswered is None else PeerCutOff(unanswered)
 
     @property
@@ -228,10 +233,10 @@
     def watches_for_others(self) -> bool:
         """Whether this node watches the store for others.
 
-        A node that receives watch requests does, whatever its own list of
-        nodes implies. With a list from before the other nodes joined, it would
-        watch only for itself, and its followers would abandon it every two
-        seconds.
+        A node that receives watch requests from peers counts as a watcher,
+        whatever its own list of nodes implies. Otherwise a node whose list was
+        made before the other nodes joined would watch only for itself, and the
+        peers that rely on it would abandon it every two seconds.
         """
         if self.clock.monotonic() - self.server.last_watched < COOLDOWN_SECONDS:
             return True
@@ -251,7 +256,11 @@
             self.announce_count(len(nodes))
 
     def _choose_peer(self, *, cut_off: bool) -> NodeEntry | None:
-        """Choose the peer to watch through; none to watch the store itself."""
+        """Choose the peer that watch requests are sent to.
+
+        :returns: ``None`` if this node has to watch the store itself, or if
+            all suitable peers are in cooldown.
+        """
         if not cut_off and (not self.has_watchers or self.watches_for_others):
             return None
         local_name, zone = self.startup.name, self.startup.zone
@@ -270,36 +279,39 @@
 
     async def _exchange(
         self,
-        kind: str,
+        object_kind: str,
         peer: NodeEntry,
         request: WatchRequest,
     ) -> WatchReply:
-        connection = self._connections.get(kind)
+        connection = self._connections.get(object_kind)
         if connection is None or connection.address != peer.address:
-            self._drop(kind)
+            self._drop(object_kind)
             connection = await connect_to_peer(self.dial, peer.address)
-            self._connections[kind] = connection
-        self.usage.count('peers', kind, 'questions')
+            self._connections[object_kind] = connection
+        self.usage.count('peers', object_kind, 'questions')
         return msgspec.msgpack.decode(
             await connection.send_request(request), type=WatchReply
         )
 
     def _abandon(
         self,
-        kind: str,
+        object_kind: str,
         peer: NodeEntry,
         reason: str,
         *,
         answered: bool = False,
     ) -> None:
-        self._drop(kind)
+        self._drop(object_kind)
         self._cooldowns.start(peer.name, answered=answered)
         self.log.record(
-            catalogue.WATCHER_LEFT, peer=peer.name, kind_of=kind, reason=reason
+            catalogue.WATCHER_LEFT,
+            peer=peer.name,
+            kind_of=object_kind,
+            reason=reason,
         )
 
-    def _drop(self, kind: str) -> None:
-        connection = self._connections.pop(kind, None)
+    def _drop(self, object_kind: str) -> None:
+        connection = self._connections.pop(object_kind, None)
         if connection is not None:
             connection.drop()
 
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCutOff:
-    """Reply of a peer that is cut off from the store, so its state is too old.
+    """Reply of a peer that is partitioned from the store, with outdated state.
 
     :param unanswered: monotonic seconds at which the peer sent the last call
         that the store left unanswered.
@@ -151,9 +151,9 @@
         return ListReply(known=True, at=self.at, age=age, packed=packed)
 
     def has_update(self, since: int, received: float) -> bool:
-        """Whether the reply to a watch request need not wait any longer.
+        """Whether the reply to a watch request can be sent now.
 
-        This is so if there are changes, or if the state was confirmed as
+        It can be sent if there are changes, or if the state was confirmed as
         current after the request arrived.
 
         :param since: revision that the requester has.
@@ -163,15 +163,17 @@
             self.confirmed_at > received or bool(self._list_updates(since))
         )
 
-    async def wait(self, since: int, received: float, seconds: float) -> None:
+    async def wait(
+        self, since: int, received: float, timeout_seconds: float
+    ) -> None:
         """Wait until there is an update for a request, or until a timeout.
 
         :param since: revision that the requester has.
         :param received: when the request arrived, in monotonic seconds.
-        :param seconds: longest wait.
+        :param timeout_seconds: longest wait.
         """
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_seconds):
                 while not self.has_update(since, received):
                     await self._recorded.wait()
         except TimeoutError:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_admission.py
@@ -149,10 +149,10 @@
     route: Route,
     terms: RequestMetadata,
 ) -> str | Refusal:
-    """Find the name of the request's client account by its key.
+    """Look up the client account of a request by its API key.
 
-    :returns: the name, empty on anonymous routes; or why the request is
-        refused.
+    :returns: the name of the account, empty if the route is anonymous or no
+        accounts are configured; or why the request is refused.
     """
     if route.anonymous or not table.configuration.accounts:
         return ''
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -108,7 +108,7 @@
 def _list_closed(
     context: RelayContext, request: AdmittedRequest
 ) -> frozenset[str]:
-    """Name the first replicas whose concurrency window is full for a request.
+    """List the first replicas whose concurrency window is full for a request.
 
     A client that retries after a refusal has less time left than most clients
     of its route, and its answer will be late. Such requests, and those of
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_crashes.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_crashes.py
@@ -8,7 +8,7 @@
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 
 UNRESPONSIVE = 'silent'
-"""Reason of a run that was given up as its replica sent nothing.
+"""Reason of a run that was given up because its replica sent nothing.
 
 The replica has not crashed.
 """
@@ -19,27 +19,27 @@
     stream: LiveStream,
     error: SendError,
 ) -> bool:
-    """Record it if the first replica of a stream has crashed.
+    """Record a crash if the first replica of a stream has crashed.
 
-    A stream that this node interrupted as its first replica is lost counts
-    too: another stream may have found the loss a moment before the connection
-    of this one broke.
+    This includes streams that this node interrupted because their first
+    replica is lost: the loss may have been detected by another stream a moment
+    before the connection of this stream broke.
 
     :returns: whether the replica crashed just as the stream began there.
     """
-    if not _connection_lost(error) or stream.reason not in {
+    if not _is_connection_lost(error) or stream.reason not in {
         '',
         FIRST_REPLICA_LOST,
     }:
         return False
-    ran = stream.has_run_long(context.now())
-    if not await _has_crashed(context, stream.first_replica) or ran:
+    has_run_long = stream.has_run_long(context.now())
+    if not await _has_crashed(context, stream.first_replica) or has_run_long:
         return False
-    manner = RequestPhase.BEGUN if stream.answered else RequestPhase.WAITING
+    phase = RequestPhase.BEGUN if stream.answered else RequestPhase.WAITING
     context.quarantine.record_crash(
         stream.request.digest,
         stream.first_replica.name,
-        manner,
+        phase,
         stream.exchange.identity,
     )
     return True
@@ -52,26 +52,27 @@
     replica: Replica,
     error: SendError,
 ) -> None:
-    """Record it if a replica of a service without a model has crashed.
+    """Record a crash if a replica of a service without a model has crashed.
 
-    No part of its answer shows how far the request had come, so it counts as
-    begun.
+    Unlike a stream, the request has no events that show whether it had begun,
+    so it counts as begun.
     """
-    if _connection_lost(error) and await _has_crashed(context, replica):
+    if _is_connection_lost(error) and await _has_crashed(context, replica):
         context.quarantine.record_crash(
             request.digest, replica.name, RequestPhase.BEGUN, exchange.identity
         )
 
 
-def _connection_lost(error: SendError) -> bool:
+def _is_connection_lost(error: SendError) -> bool:
     return error.kind is SendErrorKind.LOST and error.reason != UNRESPONSIVE
 
 
 async def _has_crashed(context: RelayContext, replica: Replica) -> bool:
     """Check whether a replica has crashed, and suspect it if so.
 
-    Its entry expires seconds later. Until then each request sent to it costs
-    a retry, and requests without a retry left are refused.
+    The entry of a crashed replica expires only after some seconds. Unless the
+    replica is suspected, each request sent to it until then costs a retry, and
+    requests without a retry left are refused.
     """
     if not await context.crash_checks.has_crashed(replica):
         return False
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_ingress.py
@@ -43,7 +43,7 @@
 class Ingress:
     """Serves the requests of clients.
 
-    :ivar stop_state: the state of the planned stop of this node.
+    :ivar stop_state: progress of the planned shutdown of this node.
     :ivar open_requests: requests in progress.
     """
 
@@ -58,7 +58,7 @@
         self._context = context
         self._watch = watch
         self._metrics = metrics
-        self._first_lists = InitialSync(context)
+        self._initial_sync = InitialSync(context)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request, and log an exception that it raises."""
@@ -100,7 +100,7 @@
             exchange.closing = True
             await exchange.refuse(_REQUEST_TIMEOUT, 'the body stands still')
             return
-        await self._first_lists.wait()
+        await self._initial_sync.wait()
         received = ReceivedRequest(scope, terms, body, arrived)
         request = admit(context, self.stop_state, received)
         if isinstance(request, Refusal):
@@ -153,7 +153,8 @@
             (relaying, disconnect), return_when=asyncio.FIRST_COMPLETED
         )
         if not relaying.done() and not exchange.finished:
-            # A request without a client would take capacity from others.
+            # A request whose client is gone would still use capacity that
+            # other requests need.
             exchange.client_gone = True
             relaying.cancel()
         await cancel_task(disconnect)
@@ -190,8 +191,8 @@
         self, exchange: Exchange, request: AdmittedRequest
     ) -> None:
         table = self._context.configuration.table
-        terms = table and table.configuration.services.get(request.service)
-        if terms and terms.model is not None:
+        service = table and table.configuration.services.get(request.service)
+        if service and service.model is not None:
             await relay_model(self._context, self._watch, exchange, request)
         else:
             await relay_non_model(self._context, exchange, request)
@@ -199,20 +200,20 @@
     def _log_completion(
         self, exchange: Exchange, request: AdmittedRequest
     ) -> None:
-        seconds = self._context.clock.monotonic() - request.arrived
+        duration = self._context.clock.monotonic() - request.arrived
         if exchange.client_gone:
-            kind, outcome = catalogue.EXCHANGE_LEFT, 'left'
+            event, outcome = catalogue.EXCHANGE_LEFT, 'left'
         elif exchange.finished:
-            kind, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
+            event, outcome = catalogue.EXCHANGE_ENDED, str(exchange.status)
         else:
-            kind, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
-        self._metrics.record_request(request.route.streaming, outcome, seconds)
+            event, outcome = catalogue.EXCHANGE_BROKEN, 'broken'
+        self._metrics.record_request(request.route.streaming, outcome, duration)
         exchange.record(
-            kind,
+            event,
             route=request.route.name,
             account=request.account,
             status=exchange.status,
-            seconds=round_seconds(seconds),
+            seconds=round_seconds(duration),
             sends=exchange.sends,
             pause=round_seconds(exchange.pause),
             version=request.version,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_initial_sync.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_initial_sync.py
@@ -19,27 +19,30 @@
 class InitialSync:
     """Waits for the first configuration and the first list of replicas.
 
-    They are received within milliseconds of the start. A client whose node
-    was killed retries once; if that retry is refused because the new process
-    has no list yet, the request is lost.
+    They arrive within milliseconds after the start. A client whose node was
+    killed retries once; if that retry were refused because the restarted node
+    has no list yet, the request would be lost.
     """
 
     context: RelayContext
-    _waiting: 'asyncio.Task[None] | None' = field(init=False, default=None)
+    _poll_task: 'asyncio.Task[None] | None' = field(init=False, default=None)
 
     async def wait(self) -> None:
-        """Wait until both were received, or for ``MAX_WAIT_SECONDS``."""
+        """Wait for the configuration and the list, or until the timeout."""
         if self._is_complete():
             return
-        if self._waiting is None:
-            self._waiting = asyncio.create_task(self._poll())
-        await asyncio.wait((self._waiting,), timeout=MAX_WAIT_SECONDS)
+        if self._poll_task is None:
+            self._poll_task = asyncio.create_task(self._poll())
+        await asyncio.wait((self._poll_task,), timeout=MAX_WAIT_SECONDS)
 
     async def _poll(self) -> None:
-        """Poll until both were received; all waiting requests share a task."""
+        """Poll until the configuration and the list were received.
+
+        All requests that wait share this task.
+        """
         while not self._is_complete():
             await asyncio.sleep(_POLL_SECONDS)
-        self._waiting = None
+        self._poll_task = None
 
     def _is_complete(self) -> bool:
         context = self.context
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Count a completed request and its duration.
 
-        :param outcome: the HTTP status, or how the request was cut off.
+        :param outcome: the HTTP status, or how the request was interrupted.
         """
         kind = 'stream' if streaming else 'plain'
         self._outcomes[kind, outcome] += 1
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -9,9 +9,9 @@
 LEAVING_SECONDS = 1.0
 """How long streams stay at a replica after it reported that it leaves.
 
-It works on for at least two seconds after the report. A typical answer takes
-two seconds, so a third of the streams finish in this time, and each move costs
-a command.
+The replica continues to work for at least two seconds after the report. A
+typical answer takes two seconds, so a third of the streams finish in this time
+and need no move, each of which costs a command.
 """
 
 MOVE_SECONDS = 0.5
@@ -37,9 +37,9 @@
     """Plans the migration of streams off replicas that stop or release layers.
 
     A leaving replica stops some seconds later, and its streams break. A
-    replica that releases layers loads others only once no stream passes
-    through the old ones, which took 7 s for the longest answers, and its zone
-    lacks layers until then. A command to the first replica changes the path
+    replica that releases layers loads others only once no stream uses the old
+    ones, which takes 7 s for the longest answers if they aren't moved; until
+    then its zone lacks layers. A command to the first replica changes the path
     of a stream while it runs. The other replicas keep their KV caches, and the
     client sees no interruption.
     """
@@ -74,8 +74,8 @@
         listed = self.replicas.replicas.get(replica.name)
         return listed is not None and listed.leaving
 
-    def _find_earliest_stop(self, name: str, now: float) -> float:
-        """Find the earliest time at which a leaving replica may stop."""
+    def _compute_earliest_stop(self, name: str, now: float) -> float:
+        """Compute the earliest time at which a leaving replica may stop."""
         since = self.replicas.find_leaving_since(name)
         announced = now if since is None else since
         return announced + self.replicas.freshness.bounds.bound
@@ -87,7 +87,7 @@
             return False
         if listed.leaving:
             seen = self._leaving_since.setdefault(listed.name, now)
-            stop = self._find_earliest_stop(listed.name, now)
+            stop = self._compute_earliest_stop(listed.name, now)
             return now > min(seen + LEAVING_SECONDS, stop - MOVE_SECONDS)
         held = listed.layers
         return held is None or not held.covers(stage.layers)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_model.py
@@ -25,7 +25,7 @@
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._permits import acquire_permit, find_retry_after
+from ryelatch_node.relay._permits import acquire_permit, compute_retry_after
 from ryelatch_node.relay._probe import Prober
 from ryelatch_node.relay._progress import (
     Progress,
@@ -76,7 +76,7 @@
     """
     progress = Progress(EventSplitter(request.terms.last_event))
     while _may_send(context, exchange, request, progress):
-        path = await _find_path(context, exchange, request, progress)
+        path = await _choose_path(context, exchange, request, progress)
         if not path:
             break
         result = await _attempt_path(
@@ -87,15 +87,16 @@
     await _give_up(context, exchange, request, progress)
 
 
-async def _find_path(
+async def _choose_path(
     context: RelayContext,
     exchange: Exchange,
     request: AdmittedRequest,
     progress: Progress,
 ) -> tuple[Stage, ...]:
-    """Choose a path, and take a permit for its first replica if it is limited.
+    """Choose a path, and acquire a permit for its first replica if needed.
 
-    Without a permit another path is chosen.
+    A permit is needed if the replica has a rate limit or is in backoff. If it
+    isn't granted, another path is chosen.
 
     :returns: the stages of the path; empty if there is no path.
     """
@@ -191,11 +192,11 @@
     path: tuple[Stage, ...],
     progress: Progress,
 ) -> None:
-    kind = catalogue.EXCHANGE_SENT
+    event = catalogue.EXCHANGE_SENT
     if exchange.started:
-        kind = catalogue.STREAM_RESUMED
+        event = catalogue.STREAM_RESUMED
     exchange.record(
-        kind,
+        event,
         path=[
             [stage.replica.name, stage.layers.first, stage.layers.end]
             for stage in path
@@ -335,15 +336,15 @@
     exchange: Exchange,
     request: AdmittedRequest,
 ) -> None:
-    """Refuse a request that did not run, and say when to retry."""
+    """Refuse a request that did not run, with a time to retry after."""
     missing = misses_layers(context, request)
-    wait = (
+    retry_after = (
         REPAIR_SECONDS if missing else _estimate_retry_after(context, request)
     )
     await exchange.refuse(
         _UNAVAILABLE,
         'layers are missing' if missing else 'all paths are full',
-        retry_after=wait,
+        retry_after=retry_after,
         open=len(context.windows.requests),
         full=len(context.windows.list_closed()),
     )
@@ -358,5 +359,6 @@
         now, request.deadline - now, context.draw()
     )
     return max(
-        delay, find_retry_after(context, list_first_replicas(context, request))
+        delay,
+        compute_retry_after(context, list_first_replicas(context, request)),
     )
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_non_model.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_non_model.py
@@ -14,13 +14,14 @@
     Exchange,
     round_seconds,
 )
-from ryelatch_node.relay._permits import acquire_permit, find_retry_after
+from ryelatch_node.relay._permits import acquire_permit, compute_retry_after
 from ryelatch_node.relay._upstream import Answer
 
 ATTEMPT_FRACTION = 0.5
 """Fraction of the time left that an attempt may take if another may follow.
 
-A replica that hangs never answers; the other half is enough for another one.
+A replica that hangs never answers. The other half of the time is enough for an
+attempt at another replica.
 """
 
 RETRY_AFTER_SECONDS = 0.25
@@ -63,7 +64,7 @@
     """Send a request to replicas until one answers, and relay its answer."""
     attempts = _Attempts()
     while True:
-        replica = await _find_replica(context, exchange, request, attempts)
+        replica = await _choose_replica(context, exchange, request, attempts)
         if replica is None or not _may_send(context, exchange, request):
             break
         attempts.names.add(replica.name)
@@ -73,13 +74,18 @@
     await _finish(context, exchange, request, attempts)
 
 
-async def _find_replica(
+async def _choose_replica(
     context: RelayContext,
     exchange: Exchange,
     request: AdmittedRequest,
     attempts: _Attempts,
 ) -> Replica | None:
-    """Choose a replica, with a permit if it needs one."""
+    """Choose a replica, and acquire a permit for it if it needs one.
+
+    If the permit isn't granted, another replica is chosen.
+
+    :returns: ``None`` if no replica is left.
+    """
     while True:
         replica = _choose(context, request, attempts.names)
         if replica is None or await acquire_permit(context, exchange, replica):
@@ -104,7 +110,7 @@
 
 
 def _is_final(attempts: _Attempts, *, repeatable: bool) -> bool:
-    """Whether no other replica may or need be tried."""
+    """Whether no further attempt is allowed or needed."""
     if not repeatable:
         return attempts.lost or attempts.received is not None
     return (
@@ -133,7 +139,7 @@
             _UNAVAILABLE,
             'no upstream has room',
             retry_after=max(
-                RETRY_AFTER_SECONDS, find_retry_after(context, offered)
+                RETRY_AFTER_SECONDS, compute_retry_after(context, offered)
             ),
             tried=tried,
         )
@@ -192,12 +198,12 @@
 ) -> _ReceivedAnswer | None:
     """Send the request to a replica, within its part of the time left.
 
-    :returns: its answer; nothing if the replica refused the request unrun.
-    :raises SendError: if no usable answer came.
+    :returns: the answer; ``None`` if the replica refused to run the request.
+    :raises SendError: if no usable answer arrives in time.
     """
     now = context.clock.monotonic()
-    left = request.deadline - now
-    dispatch = Dispatch(replica.entry, left, request.account)
+    time_left = request.deadline - now
+    dispatch = Dispatch(replica.entry, time_left, request.account)
     exchange.sends += 1
     exchange.record(
         catalogue.EXCHANGE_SENT,
@@ -205,18 +211,20 @@
         service=request.service,
         digest=request.digest,
         attempt=exchange.sends,
-        left=round_seconds(left),
+        left=round_seconds(time_left),
         version=request.version,
         load=context.load.requests[replica.name],
         list_age=round_seconds(context.replicas.freshness.age),
         missing=round_seconds(context.replicas.find_missing((replica.name,))),
     )
-    last = (
+    is_last = (
         not request.repeatable or exchange.sends >= request.route.max_attempts
     )
     context.load.requests[replica.name] += 1
     try:
-        async with asyncio.timeout(left if last else left * ATTEMPT_FRACTION):
+        async with asyncio.timeout(
+            time_left if is_last else time_left * ATTEMPT_FRACTION
+        ):
             return await _send(context, exchange, request, replica, dispatch)
     except TimeoutError as error:
         exchange.ran += 1
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_path_checks.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_path_checks.py
@@ -1,9 +1,9 @@
 """Detects lost replicas on stalled paths by connecting to their addresses.
 
-The loss of a replica in the middle of a path isn't reported to this node: the
-first replica waits for it for seconds, and its report shows this half a
-second later. A connection normally takes a few milliseconds, so a replica
-that doesn't accept one in that time is lost.
+The loss of a replica in the middle of a path isn't reported to this node at
+once: the first replica waits for the lost replica for seconds, and its report
+shows the stall only after half a second. A connection normally takes a few
+milliseconds, so a replica that doesn't accept one in that time is lost.
 """
 
 import asyncio
@@ -101,39 +101,40 @@
         clock = self.context.clock
         for _ in itertools.repeat(None, MAX_ROUNDS):
             started = clock.monotonic()
-            found = await asyncio.gather(*map(self._reach, replicas))
+            results = await asyncio.gather(*map(self._reach, replicas))
             if (
                 clock.monotonic() - started
                 <= CONNECT_SECONDS + MAX_LATENESS_SECONDS
             ):
-                self._evaluate(replicas, found, started)
+                self._evaluate(replicas, results, started)
                 return
 
     def _evaluate(
         self,
         replicas: list[Replica],
-        found: list[Reachability],
+        results: list[Reachability],
         started: float,
     ) -> None:
         """Suspect the replicas that are lost.
 
+        :param results: results of the connections, in the replicas' order.
         :param started: when the round started, in monotonic seconds.
         """
         now = self.context.clock.monotonic()
-        if Reachability.LISTENS in found:
+        if Reachability.LISTENS in results:
             self._last_reached = now
-        if all(reach is Reachability.LISTENS for reach in found):
+        if all(result is Reachability.LISTENS for result in results):
             self._factor = min(
                 MAX_THRESHOLD_FACTOR, self.threshold_factor * THRESHOLD_GROWTH
             )
             self._factor_set = now
-        for replica, reach in zip(replicas, found, strict=True):
-            if reach is Reachability.REFUSED:
+        for replica, result in zip(replicas, results, strict=True):
+            if result is Reachability.REFUSED:
                 self.context.replicas.suspect(replica, 'ended', full=False)
             elif (
-                reach is Reachability.UNKNOWN and self._last_reached >= started
+                result is Reachability.UNKNOWN and self._last_reached >= started
             ):
-                # If no replica is reached, this node itself is cut off.
+                # If no replica can be reached, this node is partitioned.
                 self.context.replicas.suspect(replica, 'silent', full=False)
 
     async def _reach(self, replica: Replica) -> Reachability:
@@ -142,16 +143,16 @@
         :returns: the first conclusive result of the two.
         """
         attempts = [
-            asyncio.create_task(self._try_after(replica, after))
-            for after in (0, SECOND_CONNECT_SECONDS)
+            asyncio.create_task(self._connect_after(replica, delay))
+            for delay in (0, SECOND_CONNECT_SECONDS)
         ]
         try:
             for attempt in asyncio.as_completed(
                 attempts, timeout=CONNECT_SECONDS
             ):
-                reach = await attempt
-                if reach is not Reachability.UNKNOWN:
-                    return reach
+                result = await attempt
+                if result is not Reachability.UNKNOWN:
+                    return result
         except TimeoutError:
             return Reachability.UNKNOWN
         finally:
@@ -159,6 +160,8 @@
                 task.cancel()
         return Reachability.UNKNOWN
 
-    async def _try_after(self, replica: Replica, after: float) -> Reachability:
-        await asyncio.sleep(after)
+    async def _connect_after(
+        self, replica: Replica, delay: float
+    ) -> Reachability:
+        await asyncio.sleep(delay)
         return await self.context.commands.reach(replica)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_permits.py
@@ -8,7 +8,7 @@
 from ryelatch_node.relay._exchange import Exchange
 
 RETRY_JITTER = 0.3
-"""Fraction of a wait by which the times of clients' retries are spread."""
+"""Maximum jitter of a retry delay, as a fraction of the delay."""
 
 
 async def acquire_permit(
@@ -30,15 +30,19 @@
     return False
 
 
-def find_retry_after(
+def compute_retry_after(
     context: RelayContext, replicas: Iterable[Replica]
 ) -> float:
-    """Find after how long a refused client should retry.
+    """Compute the delay after which a refused client should retry.
 
-    That is when the first of some replicas accepts requests again. Jitter is
-    added, as all clients refused until then would retry at the same moment.
+    After it, at least one of the replicas accepts requests again. Jitter is
+    added, because all clients refused until then would otherwise retry at the
+    same moment.
 
+    :param replicas: replicas that can serve the request.
     :returns: seconds; 0 if a replica accepts requests now.
     """
-    wait = context.throttle.find_wait(replica.name for replica in replicas)
-    return wait * (1 + RETRY_JITTER * context.draw())
+    wait_seconds = context.throttle.find_wait(
+        replica.name for replica in replicas
+    )
+    return wait_seconds * (1 + RETRY_JITTER * context.draw())
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_progress.py
@@ -22,9 +22,9 @@
 
 @dataclass
 class Progress:
-    """What the attempts of one request have brought so far.
+    """Results of all attempts of one request so far.
 
-    :param splitter: cuts the answer into events, over all attempts.
+    :param splitter: splits the answer into events, over all attempts.
     :param excluded: first replicas whose runs failed or were interrupted, which
         other attempts avoid where they can.
     :param may_have_run: whether an attempt may have run without an answer.
@@ -51,9 +51,9 @@
     A refusal that took long comes from a path that waited for a lost replica;
     an immediate one comes from a path with a full replica.
     """
-    waited = context.clock.monotonic() - stream.progress
-    stalled = waited > context.startup.stall_seconds * _STALL_FRACTION
-    fault = _find_fault(context, stream, answer.terms.fault)
+    wait_seconds = context.clock.monotonic() - stream.progress
+    stalled = wait_seconds > context.startup.stall_seconds * _STALL_FRACTION
+    fault = _get_faulty_replica(context, stream, answer.terms.fault)
     reason = f'answered {answer.status}'
     if (
         answer.status == _UNAVAILABLE
@@ -72,13 +72,17 @@
         replica=fault.name,
         status=answer.status,
         outcome='not run',
-        waited=round_seconds(waited),
+        waited=round_seconds(wait_seconds),
     )
 
 
-def _find_fault(
+def _get_faulty_replica(
     context: RelayContext, stream: LiveStream, address: str
 ) -> Replica:
+    """Return the replica of the path that has an address.
+
+    :returns: the first replica if no other one has the address.
+    """
     matches = (
         stage.replica
         for stage in stream.path
@@ -163,8 +167,9 @@
 
     A run that was lost with its first replica doesn't count, and is taken off
     again if it had begun. A run that this node interrupted counts even if no
-    event arrived, as it may have begun: without that, seven streams ran on
-    three first replicas where two were allowed.
+    event arrived, because it may have begun. Otherwise a stream may run more
+    often than its route allows: seven streams ran on three first replicas
+    where two were allowed.
     """
     if stream.reason in {'', FIRST_REPLICA_LOST}:
         return -1 if stream.begun else 0
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_query.py
@@ -5,14 +5,14 @@
 from ryelatch_node.relay._exchange import AdmittedRequest
 
 
-def find_profile(context: RelayContext, service: str) -> ModelProfile | None:
-    """Find the profile of a service's model.
+def get_profile(context: RelayContext, service: str) -> ModelProfile | None:
+    """Return the profile of a service's model.
 
     :returns: ``None`` if the service is unknown or has no model.
     """
     table = context.configuration.table
-    terms = table and table.configuration.services.get(service)
-    return terms.model if terms else None
+    configured = table and table.configuration.services.get(service)
+    return configured.model if configured else None
 
 
 def make_path_query(
@@ -25,7 +25,7 @@
     :param avoid: names of replicas that the path must not use.
     :returns: ``None`` if the service is unknown or has no model.
     """
-    profile = find_profile(context, request.service)
+    profile = get_profile(context, request.service)
     if profile is None:
         return None
     now = context.clock.monotonic()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_server.py
@@ -45,8 +45,8 @@
 """Fraction of the grace period in which a stopping node accepts new streams.
 
 One in ten streams lasts over four seconds. A stream that was accepted later
-could be cut off when the process exits, so it is refused, and its client is
-told to retry at once and reaches another node.
+could be interrupted when the process exits, so it is refused. Its client is
+asked to retry at once, and reaches another node.
 """
 
 PLAIN_ANSWER_SECONDS = 3.5
@@ -172,21 +172,22 @@
         self._context.log.record(catalogue.NODE_DRAINING)
         loop = asyncio.get_running_loop()
         started = loop.time()
-        grace = self._context.startup.grace
-        last_call = max(
-            grace / 2, grace - MARGIN_SECONDS - PLAIN_ANSWER_SECONDS
+        grace_seconds = self._context.startup.grace
+        refuse_after = max(
+            grace_seconds / 2,
+            grace_seconds - MARGIN_SECONDS - PLAIN_ANSWER_SECONDS,
         )
-        idle = 0.0
-        while loop.time() - started < grace - MARGIN_SECONDS:
+        idle_seconds = 0.0
+        while loop.time() - started < grace_seconds - MARGIN_SECONDS:
             await asyncio.sleep(_POLL_SECONDS)
             elapsed = loop.time() - started
             self._ingress.stop_state.refuses_streams = (
-                elapsed > grace * STREAM_FRACTION
+                elapsed > grace_seconds * STREAM_FRACTION
             )
-            self._ingress.stop_state.refuses_all = elapsed > last_call
+            self._ingress.stop_state.refuses_all = elapsed > refuse_after
             busy = self._ingress.open_requests
-            idle = 0.0 if busy else idle + _POLL_SECONDS
-            if elapsed > NOTICE_SECONDS and idle > QUIET_SECONDS:
+            idle_seconds = 0.0 if busy else idle_seconds + _POLL_SECONDS
+            if elapsed > NOTICE_SECONDS and idle_seconds > QUIET_SECONDS:
                 return
 
     async def stop(self) -> None:
@@ -221,10 +222,10 @@
 
     def _apply_budget(self) -> None:
         startup = self._context.startup
-        terms = RetryAllowance(
+        allowance = RetryAllowance(
             startup.retry_ratio, startup.retry_extra, startup.retry_window
         )
-        resize_budget(self._context.budget, terms, self._nodes)
+        resize_budget(self._context.budget, allowance, self._nodes)
 
     async def _serve_readiness(self, request: Request) -> Response:
         if self.ready:
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -1,9 +1,9 @@
 """Detects stalled streams and moves them or resumes them on another path.
 
 A token passes through ten replicas. When one of them is lost, the first
-replica waits for it and gives up after two seconds; by then the client has
-disconnected. The report of the first replica names the replica that it waits
-for, so the stream can be moved to another path, and the remaining replicas
+replica waits for the lost one and gives up after two seconds; by then the
+client has disconnected. The report of the first replica names the replica that
+it waits for, so the stream can be moved to another path. The remaining replicas
 keep the KV caches of the tokens that they have processed.
 """
 
@@ -19,7 +19,7 @@
 from ryelatch_node.relay._migration_planner import MigrationPlanner
 from ryelatch_node.relay._path_checks import PathChecks
 from ryelatch_node.relay._probe import Prober
-from ryelatch_node.relay._query import find_profile, make_path_query
+from ryelatch_node.relay._query import get_profile, make_path_query
 from ryelatch_node.relay._stream import FIRST_REPLICA_LOST, LiveStream
 from ryelatch_node.relay._stream_migrator import StreamMigrator
 from ryelatch_node.tasks import Tasks
@@ -49,9 +49,10 @@
 """
 
 SILENCE_GAPS = 1.6
-"""The same pause as a multiple of the mean gap between events of the stream.
+"""Minimum pause as a multiple of the mean gap between events of the stream.
 
-The longer one of the two counts.
+The replicas of a path are checked after this pause or after
+``MIN_SILENCE_SECONDS``, whichever is longer.
 """
 
 SLOW_FRACTION = 0.6
@@ -70,7 +71,10 @@
 """Pause between attempts to move a stalled stream."""
 
 REFUSED_MOVE_PAUSE_SECONDS = 0.2
-"""Added to that pause after a refused move, as each command has a cost."""
+"""Added to ``MOVE_PAUSE_SECONDS`` after a refused move.
+
+Each command has a cost.
+"""
 
 MAX_REPAIR_WAIT_SECONDS = 1.1
 """Maximum pause of a stream that waits for a repair in its own zone.
@@ -152,7 +156,7 @@
         lost: frozenset[str],
     ) -> None:
         pause = now - stream.progress
-        silence_limit = _find_silence_limit(stream)
+        silence_limit = _compute_silence_limit(stream)
         if lost and pause > silence_limit and stream.uses(lost):
             if now - stream.last_move_attempt > MOVE_PAUSE_SECONDS:
                 self._tasks.spawn(self._move_off_unreachable(stream, pause))
@@ -161,7 +165,7 @@
             self._path_checks.check(stream.path)
         if pause > max(silence_limit, stream.request.route.gap * SLOW_FRACTION):
             self.context.slow_replicas.check(stream.path)
-        if pause > _find_stall_limit(stream):
+        if pause > _get_stall_limit(stream):
             _record_stall(stream, pause)
             self._request_report(stream.first_replica, now)
         else:
@@ -266,9 +270,9 @@
         )
         if may_wait and self._is_repair_imminent(stream):
             return
-        # Where no path is free here, the client may be served by another
-        # node: it sees the broken connection and requests the rest, if it
-        # hasn't given up by then.
+        # If this node has no free path, another node may serve the client:
+        # after the interruption, the client requests the rest of the answer
+        # there, unless it has given up by then.
         recoverable_elsewhere = (
             stream.request.repeatable and pause > GIVE_UP_SECONDS
         )
@@ -278,9 +282,9 @@
     def _may_resume(self, stream: LiveStream) -> bool:
         """Whether a new run may resume a stream that is still running.
 
-        When streams were interrupted although no retry or no other path was
-        left, they were lost, while their replicas would have continued them:
-        38 of 69 streams after one crash.
+        Otherwise streams would be interrupted although no retry or no other
+        path is left, and would be lost although their replicas might have
+        continued them: 38 of 69 streams after one crash.
         """
         request = stream.request
         if self.context.budget.left < 1 or not self._has_path(stream):
@@ -303,7 +307,7 @@
     def _is_repair_imminent(self, stream: LiveStream) -> bool:
         """Whether an empty replica of the zone can load the layers in time."""
         service = stream.request.service
-        profile = find_profile(self.context, service)
+        profile = get_profile(self.context, service)
         if profile is None:
             return False
         alive = self.context.replicas.list_reachable(service)
@@ -312,12 +316,12 @@
             stage for stage in stream.path if stage.replica.name not in names
         ]
         layers = max((len(stage.layers) for stage in lost), default=0)
-        seconds = layers / profile.layers * profile.load_seconds
+        repair_seconds = layers / profile.layers * profile.load_seconds
         has_spare = any(
             replica.zone == stream.first_replica.zone and replica.layers is None
             for replica in alive
         )
-        return has_spare and seconds < MAX_REPAIR_WAIT_SECONDS
+        return has_spare and repair_seconds < MAX_REPAIR_WAIT_SECONDS
 
     def _check_leaving(self, stream: LiveStream, now: float) -> None:
         """Move a running stream off replicas that are about to stop.
@@ -357,7 +361,7 @@
         )
 
 
-def _find_silence_limit(stream: LiveStream) -> float:
+def _compute_silence_limit(stream: LiveStream) -> float:
     """Compute the pause after which the replicas of a stream are checked."""
     if stream.first_event is None or stream.delivered < 2:
         return FIRST_SILENCE_SECONDS
@@ -366,5 +370,5 @@
     return max(MIN_SILENCE_SECONDS, SILENCE_GAPS * gap)
 
 
-def _find_stall_limit(stream: LiveStream) -> float:
+def _get_stall_limit(stream: LiveStream) -> float:
     return STALL_SECONDS if stream.begun else FIRST_STALL_SECONDS
