--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_frames.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_frames.py
@@ -64,7 +64,7 @@
 
     :param replica: name of the replica's incarnation.
     :param limit: the rate limit that the replica last reported to the
-        requester; nothing if it has no limit any more, in which case the
+        requester; ``None`` if it has no limit any more, in which case the
         frame only announces that and requests no permit.
     :param age: seconds since the replica reported it.
     """
@@ -79,7 +79,7 @@
 
     :param wait: if denied, seconds until a permit is available again.
     :param limit: the rate limit that the replica last reported, as far as the
-        limiting node knows; nothing if it has no limit any more.
+        limiting node knows; ``None`` if it has no limit any more.
     :param age: seconds since the replica reported it.
     """
 
@@ -140,12 +140,12 @@
 
     :param covered: whether all changes since the requested revision are
         included.
-    :param at: revision of the store up to which they are.
+    :param at: revision of the store up to which changes are included.
     :param waited: seconds from the arrival of the request to this reply.
     :param age: seconds since the state was last confirmed as current.
     :param packed: the changes, see :func:`pack`.
     :param unanswered: seconds since the replying node sent the last call that
-        the store left unanswered; nothing if there was none.
+        the store left unanswered; ``None`` if there was none.
     :param out: whether the store is unavailable to the replying node.
     """
 
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
@@ -45,7 +45,7 @@
         confirmed as current.
     :param changes: the changes, or all objects in reply to a list request.
     :param unanswered: monotonic seconds at which the peer sent the last call
-        that the store left unanswered; nothing if there was none.
+        that the store left unanswered; ``None`` if there was none.
     :param out: whether the store is unavailable to that peer.
     """
 
@@ -61,7 +61,7 @@
     """Availability of the store, as a node observes it.
 
     :param unanswered: when the last call that the store left unanswered was
-        sent, in monotonic seconds.
+        sent, in monotonic seconds; ``NEVER`` if there was none.
     :param out: whether the store is unavailable.
     """
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -51,9 +51,9 @@
     def find_replicas_to_leave(
         self, stream: LiveStream, now: float
     ) -> frozenset[str]:
-        """Name the replicas that a stream should leave now.
+        """Choose the replicas that a stream should leave now.
 
-        An attempt to move the stream is counted if there are any.
+        If there are any, this counts as an attempt to move the stream.
         """
         if not stream.begun or stream.move_attempts >= MAX_TRIES:
             return frozenset()
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_stream_migrator.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_stream_migrator.py
@@ -39,7 +39,7 @@
 
         :param lost: names of the replicas to avoid.
         :param crosses: whether the new path may change zones.
-        :returns: result of the last command; nothing if there was no path.
+        :returns: result of the last command; ``None`` if there was no path.
         """
         result: CommandResult | None = None
         for _ in range(MOVE_TRIES):
