--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_bootstrapper.py
@@ -41,8 +41,8 @@
 class Bootstrapper:
     """Contacts the next node that can be reached, in the order of names.
 
-    It keeps a connection to that node. A connection that breaks shows that the
-    node's process has terminated and may restart. Because a loss of power
+    It keeps a connection to that node. The connection breaks when the node's
+    process terminates, after which it may restart. Because a loss of power
     doesn't break the connection, the node is also contacted at regular
     intervals while the store is unavailable.
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -283,8 +283,8 @@
         """Whether a new run may resume a stream that is still running.
 
         Otherwise streams would be interrupted although no retry or no other
-        path is left, and would be lost although their replicas might have
-        continued them: 38 of 69 streams after one crash.
+        path is left, and would be lost although their replicas would
+        continue them: 38 of 69 streams after one crash.
         """
         request = stream.request
         if self.context.budget.left < 1 or not self._has_path(stream):
