--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -61,7 +61,7 @@
     ),
     Mechanism(
         'turns',
-        f'{_CORE}/_returns.py',
+        f'{_CORE}/_retry_delays.py',
         r'RETRY_FRACTION = .*',
         'RETRY_FRACTION = 1e9',
     ),
@@ -91,11 +91,11 @@
         'EVIDENCE_LIMIT = 1e9',
     ),
     Mechanism(
-        'moves', f'{_RELAY}/_mover.py', r'MOVE_TRIES = .*', 'MOVE_TRIES = 0'
+        'moves', f'{_RELAY}/_stream_migrator.py', r'MOVE_TRIES = .*', 'MOVE_TRIES = 0'
     ),
     Mechanism(
         'evacuation',
-        f'{_RELAY}/_evacuation.py',
+        f'{_RELAY}/_migration_planner.py',
         r'MAX_TRIES = .*',
         'MAX_TRIES = 0',
     ),
@@ -107,7 +107,7 @@
     ),
     Mechanism(
         'first lists',
-        f'{_RELAY}/_beginning.py',
+        f'{_RELAY}/_initial_sync.py',
         r'MAX_WAIT_SECONDS = .*',
         'MAX_WAIT_SECONDS = 0.0',
     ),
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -14,7 +14,7 @@
 import aiohttp
 from common import find_percentiles, print_table, save_result
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.demo import find_chain
 from fleet.fleet import Fleet, make_shape, run_fleet
 
@@ -38,7 +38,7 @@
 
 async def silence_links(fleet: Fleet, chain: list[str]) -> None:
     """Let the open connections of the middle stage go silent."""
-    await fleet.silence(fleet.processes[chain[1]])
+    await fleet.silence_connections(fleet.processes[chain[1]])
 
 
 async def kill_both(fleet: Fleet, chain: list[str]) -> None:
@@ -65,7 +65,7 @@
     :returns: seconds of the longest gap with recovery, and without.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = [Heard() for _ in range(_RUNS)]
+        heard = [StreamedAnswer() for _ in range(_RUNS)]
         asking = [
             asyncio.create_task(
                 ask(
@@ -95,7 +95,7 @@
     """Kill a node; its callers ask again through another at once."""
     gaps = []
     async with run_fleet(make_shape(nodes=2)) as fleet:
-        heard = [Heard() for _ in range(_RUNS)]
+        heard = [StreamedAnswer() for _ in range(_RUNS)]
 
         async def call(index: int) -> None:
             one = heard[index]
@@ -105,7 +105,7 @@
                 )
             except (OSError, aiohttp.ClientError):
                 broken = time.monotonic()
-                again = Heard()
+                again = StreamedAnswer()
                 had = len(one.times)
                 await ask(
                     fleet.http,
--- a/tests/benchmarks/test_losses.py
+++ b/tests/benchmarks/test_losses.py
@@ -43,7 +43,7 @@
     assert _find(refused) == ['refused: all paths are full']
 
 
-def test_late_first_event_is_the_paths() -> None:
+def test_late_first_event_blames_the_path() -> None:
     assert _find(*_serve('r-1', 0.9)) == ['late: crowded or slow path']
 
 
--- a/tests/fleet/caller.py
+++ b/tests/fleet/caller.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Heard:
+class StreamedAnswer:
     """What a caller got.
 
     :param times: monotonic seconds of each piece of text.
@@ -57,14 +57,14 @@
     key: str,
     content: str,
     limit: int,
-    heard: Heard | None = None,
+    heard: StreamedAnswer | None = None,
     model: str = 'textile-care',
-) -> Heard:
+) -> StreamedAnswer:
     """Ask for a streamed chat answer.
 
     :param heard: filled while the answer comes.
     """
-    heard = heard or Heard()
+    heard = heard or StreamedAnswer()
     heard.started = time.monotonic()
     body = {
         'model': model,
@@ -89,7 +89,7 @@
     return heard
 
 
-def _take_line(heard: Heard, line: bytes) -> None:
+def _take_line(heard: StreamedAnswer, line: bytes) -> None:
     if not line.startswith(b'data: '):
         return
     payload = line[len(b'data: ') :].strip()
@@ -105,7 +105,7 @@
         _take_piece(heard, choice['delta'].get('content', ''))
 
 
-def _take_piece(heard: Heard, piece: str) -> None:
+def _take_piece(heard: StreamedAnswer, piece: str) -> None:
     if piece:
         heard.text += piece
         heard.times.append(time.monotonic())
--- a/tests/fleet/checks.py
+++ b/tests/fleet/checks.py
@@ -61,7 +61,7 @@
 async def count_runs(fleet: Fleet) -> dict[str, int]:
     """Count how often each booking ran, over all plain upstreams."""
     total: dict[str, int] = defaultdict(int)
-    for name in fleet.shape.plain:
+    for name in fleet.shape.non_model:
         process = fleet.processes[name]
         if process.child.returncode is None:
             seen = await fleet.inspect(process, 'runs')
@@ -72,7 +72,7 @@
 
 async def set_booking_faults(fleet: Fleet, **faults: Any) -> None:
     """Set the faults of all plain upstreams."""
-    for name in fleet.shape.plain:
+    for name in fleet.shape.non_model:
         await fleet.control(fleet.processes[name], 'faults', faults)
 
 
--- a/tests/fleet/demo.py
+++ b/tests/fleet/demo.py
@@ -4,7 +4,7 @@
 import sys
 import time
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.fleet import Fleet, make_shape, run_fleet
 from standins.model import complete_chat
 
@@ -21,7 +21,7 @@
 
 async def show_answer(fleet: Fleet) -> bool:
     """Stream an answer while a stage of it is killed."""
-    heard = Heard()
+    heard = StreamedAnswer()
     node = fleet.nodes[0]
     asking = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
@@ -71,7 +71,7 @@
             replies.append((response.status, await response.text()))
     runs = [
         (await fleet.inspect(fleet.processes[name], 'runs'))['runs']
-        for name in fleet.shape.plain
+        for name in fleet.shape.non_model
     ]
     total = sum(sum(found.values()) for found in runs)
     tell(f'a booking sent through two nodes: {replies[0]}; it ran {total}x')
@@ -81,7 +81,7 @@
 async def show_stop(fleet: Fleet) -> bool:
     """Stop a node in order while it streams an answer."""
     node = fleet.nodes[1]
-    heard = Heard()
+    heard = StreamedAnswer()
     asking = asyncio.create_task(
         ask(fleet.http, node, _KEY, _CONTENT, _TOKENS, heard)
     )
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -39,7 +39,7 @@
     """What a fleet consists of.
 
     :param nodes: availability zone by name of the node.
-    :param plain: availability zone by name of the plain upstream.
+    :param non_model: availability zone by name of the plain upstream.
     """
 
     settings: str
@@ -48,7 +48,7 @@
     role: str
     nodes: dict[str, str]
     engines: tuple[EngineSpec, ...]
-    plain: dict[str, str]
+    non_model: dict[str, str]
     startup: dict[str, Any] = field(default_factory=dict)
     tweak: Callable[[dict[str, Any]], object] | None = None
 
@@ -130,8 +130,8 @@
         await asyncio.gather(
             *(self.start_engine(spec) for spec in self.shape.engines),
             *(
-                self.start_plain(name, zone)
-                for name, zone in self.shape.plain.items()
+                self.start_non_model(name, zone)
+                for name, zone in self.shape.non_model.items()
             ),
         )
 
@@ -150,7 +150,7 @@
         await self._list(process, 'engine', spec.zone)
         return process
 
-    async def start_plain(self, name: str, zone: str) -> Process:
+    async def start_non_model(self, name: str, zone: str) -> Process:
         """Start a plain service and list it."""
         process = await spawn_standin(name, 'booking')
         await self._list(process, self.shape.role, zone)
@@ -202,7 +202,7 @@
         async with self.http.get(url) as response:
             return json.loads(await response.text())
 
-    async def silence(self, process: Process) -> None:
+    async def silence_connections(self, process: Process) -> None:
         """Let all open connections of a stand-in go silent for good."""
         url = f'{process.url}/control/silence'
         async with self.http.post(url) as response:
--- a/tests/fleet/running.py
+++ b/tests/fleet/running.py
@@ -22,7 +22,7 @@
 from standins.replica import ReplicaStandIn
 
 MODEL_SERVICE = 'model'
-PLAIN_SERVICE = 'booking'
+NON_MODEL_SERVICE = 'booking'
 KEY = 'ward-1-key'
 LAYERS = 8
 SETTLED_SECONDS = 3
@@ -90,7 +90,7 @@
         'timeoutMs': 3000,
         'targetLatencyMs': 500,
         'priority': 1,
-        'service': PLAIN_SERVICE,
+        'service': NON_MODEL_SERVICE,
         'maxAttempts': 2,
         **changes,
     }
@@ -129,7 +129,7 @@
                     ],
                 },
             },
-            {'name': PLAIN_SERVICE},
+            {'name': NON_MODEL_SERVICE},
         ],
         'limits': {'idleTimeoutMs': 5000, 'maxBodyBytes': 10_000},
         'tenants': [{'name': 'ward-1', 'apiKeys': [KEY]}],
@@ -137,14 +137,14 @@
     }
 
 
-def make_plain(count: int = 2) -> list[ReplicaStandIn]:
+def make_non_model_replicas(count: int = 2) -> list[ReplicaStandIn]:
     """Make replicas of the plain service."""
     return [
-        ReplicaStandIn(f'b-{number}', PLAIN_SERVICE) for number in range(count)
+        ReplicaStandIn(f'b-{number}', NON_MODEL_SERVICE) for number in range(count)
     ]
 
 
-def make_model(*held: tuple[int, int] | None) -> list[ReplicaStandIn]:
+def make_model_replicas(*held: tuple[int, int] | None) -> list[ReplicaStandIn]:
     """Make replicas of the model, each with the layers it holds."""
     return [
         ReplicaStandIn(
@@ -290,7 +290,7 @@
     )
 
 
-def expect_events(count: int) -> bytes:
+def make_event_stream(count: int) -> bytes:
     """Write the whole stream of a replica."""
     return b''.join(
         f'id: {number}\ndata: token {number}\n\n'.encode()
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -11,7 +11,7 @@
 
 from syrupy.assertion import SnapshotAssertion
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import book, set_booking_faults
 from fleet.demo import find_chain
 from fleet.fleet import Fleet, make_shape, run_fleet
@@ -79,7 +79,7 @@
 async def test_answer_that_loses_a_stage(snapshot: SnapshotAssertion) -> None:
     """Promises 1 and 2: an answer loses a stage and ends whole."""
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 60, heard)
         )
@@ -114,7 +114,7 @@
     """Promise 5: an engine leaves while an answer runs on it."""
     wanted = _ANSWER | {'upstream-leaving'}
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 200, heard)
         )
@@ -132,7 +132,7 @@
     """Promise 6: a node is stopped while it streams an answer."""
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, node, _KEY, 'wool', 120, heard)
         )
@@ -175,7 +175,7 @@
     """A stage loses all its engines, and the node mends it."""
     wanted = {'lease-taken', 'order-sent', 'lease-lost'}
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, heard)
         )
--- a/tests/platform/test_announced_departure.py
+++ b/tests/platform/test_announced_departure.py
@@ -7,8 +7,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     wait_until,
 )
@@ -27,7 +27,7 @@
     node: RunningNode, path: str, leaving: ReplicaStandIn
 ) -> None:
     """Send requests until a replica has announced that it is leaving."""
-    leaving.says = _LEAVING
+    leaving.extra_headers = _LEAVING
     before = len(leaving.runs)
     while len(leaving.runs) == before:
         await _ask_repeatedly(node, path, 1)
@@ -37,8 +37,8 @@
 
 def _make_replicas(path: str) -> list[ReplicaStandIn]:
     if path.startswith('/plan'):
-        return make_model(*[(0, 8)] * 2)
-    return make_plain(2)
+        return make_model_replicas(*[(0, 8)] * 2)
+    return make_non_model_replicas(2)
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
@@ -71,7 +71,7 @@
 
 async def test_departure_holds_in_a_store_outage() -> None:
     """A node that is cut off from the store sends to a leaving replica."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     async with run_node(replicas) as node:
         node.store.mode = 'silent'
         await _announce_leaving(node, '/ping/x', replicas[0])
@@ -81,12 +81,12 @@
 
 async def test_restarted_replica_is_used_again() -> None:
     """A restarted replica gets no requests as its last incarnation left."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     replicas[0].born = 1000
     async with run_node(replicas) as node:
         await _announce_leaving(node, '/ping/x', replicas[0])
-        replicas[0].says = {}
-        replicas[0].start_again()
+        replicas[0].extra_headers = {}
+        replicas[0].restart()
         replicas[0].register()
         await wait_until(lambda: node.count('replica-listed') >= 3)
         await _ask_repeatedly(node, '/ping/x', 20)
@@ -95,8 +95,8 @@
 
 async def test_invalid_leaving_header_is_ignored() -> None:
     """An invalid header in an answer takes a working replica out of use."""
-    replicas = make_plain(1)
-    replicas[0].says = {'Server-Leaving': 'perhaps'}
+    replicas = make_non_model_replicas(1)
+    replicas[0].extra_headers = {'Server-Leaving': 'perhaps'}
     async with run_node(replicas) as node:
         await _ask_repeatedly(node, '/ping/x', 3)
         assert len(replicas[0].runs) == 3
--- a/tests/platform/test_backoff.py
+++ b/tests/platform/test_backoff.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fleet.running import RunningNode, ask, make_model, make_plain, run_node
+from fleet.running import RunningNode, ask, make_model_replicas, make_non_model_replicas, run_node
 
 _BACKOFF_SECONDS = 3.0
 _ROUNDING = 0.01
@@ -14,10 +14,10 @@
 
 async def test_requested_backoff_is_logged() -> None:
     """The log doesn't show for how long a replica requested a backoff."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     for replica in replicas:
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+        replica.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         await ask(node, '/ping/x')
         assert node.find('replica-backoff')['seconds'] == _BACKOFF_SECONDS
@@ -26,9 +26,9 @@
 
 async def test_unreadable_backoff_is_logged() -> None:
     """A backoff header that can't be parsed leaves no trace in the log."""
-    replica = make_plain(1)[0]
+    replica = make_non_model_replicas(1)[0]
     replica.refuse = 503
-    replica.says = {'Retry-After': 'soon'}
+    replica.extra_headers = {'Retry-After': 'soon'}
     async with run_node([replica]) as node:
         await ask(node, '/ping/x')
         assert node.count('backoff-unreadable') == 1
@@ -57,10 +57,10 @@
 async def test_replica_in_backoff_gets_few_requests(path: str) -> None:
     """A replica that requested a backoff of 3 s gets requests each 0.3 s."""
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
+    replicas = make_model_replicas(*[(0, 8)] * 3) if streams else make_non_model_replicas(3)
     limited = replicas[0]
     limited.refuse = 503
-    limited.says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+    limited.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         statuses = await _send_for(node, path, 2 * _BACKOFF_SECONDS)
         assert set(statuses) == {200}
@@ -81,10 +81,10 @@
     Its ``Retry-After`` must reach to the end of the first backoff.
     """
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 2) if streams else make_plain(2)
+    replicas = make_model_replicas(*[(0, 8)] * 2) if streams else make_non_model_replicas(2)
     for number, replica in enumerate(replicas):
         replica.refuse = 503
-        replica.says = {'Retry-After': f'{_BACKOFF_SECONDS + number}'}
+        replica.extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS + number}'}
     async with run_node(replicas) as node:
         loop = asyncio.get_running_loop()
         first = loop.time()
@@ -102,9 +102,9 @@
 
 async def test_no_report_is_requested_during_backoff() -> None:
     """A replica in backoff gets requests for its report instead."""
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     replicas[0].refuse = 503
-    replicas[0].says = {'Retry-After': f'{_BACKOFF_SECONDS}'}
+    replicas[0].extra_headers = {'Retry-After': f'{_BACKOFF_SECONDS}'}
     async with run_node(replicas) as node:
         for number in range(6):
             await ask(node, '/plan/x', identity=f'c-{number}')
@@ -115,9 +115,9 @@
 
 async def test_replica_is_used_after_its_backoff() -> None:
     """A replica gets no more requests after its backoff is over."""
-    replicas = make_plain(2)
+    replicas = make_non_model_replicas(2)
     replicas[0].refuse = 503
-    replicas[0].says = {'Retry-After': '0.4'}
+    replicas[0].extra_headers = {'Retry-After': '0.4'}
     async with run_node(replicas) as node:
         await _send_for(node, '/ping/x', 1)
         replicas[0].refuse = 0
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -10,8 +10,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_nodes,
 )
 from standins.replica import ReplicaStandIn
@@ -27,13 +27,13 @@
 ) -> AsyncIterator[list[RunningNode]]:
     """Run three nodes and replicas that one particular request crashes."""
     for replica in replicas:
-        replica.ends_on = _CRASHING
+        replica.crash_on = _CRASHING
     async with run_nodes(replicas, 3) as nodes:
         yield nodes
 
 
 def _list_crashed(replicas: list[ReplicaStandIn]) -> list[str]:
-    return [replica.name for replica in replicas if replica.ended]
+    return [replica.name for replica in replicas if replica.crashed]
 
 
 @pytest.mark.parametrize('path', ['/plan/x', '/ping/x'])
@@ -46,7 +46,7 @@
     request: eighteen replicas crashed under one digest that way.
     """
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 14) if streams else make_plain(14)
+    replicas = make_model_replicas(*[(0, 8)] * 14) if streams else make_non_model_replicas(14)
     async with _run_nodes(replicas) as nodes:
         senders = itertools.cycle(nodes)
         for number in range(12):
@@ -65,7 +65,7 @@
 
     The node at which it is resumed has seen no crash.
     """
-    replicas = make_model(*[(0, 8)] * 6)
+    replicas = make_model_replicas(*[(0, 8)] * 6)
     async with _run_nodes(replicas) as nodes:
         for (number, node), letter in itertools.product(
             enumerate(nodes), 'abcdef'
--- a/tests/platform/test_drain.py
+++ b/tests/platform/test_drain.py
@@ -4,9 +4,9 @@
 
 from fleet.running import (
     ask,
-    expect_events,
-    make_model,
-    make_plain,
+    make_event_stream,
+    make_model_replicas,
+    make_non_model_replicas,
     open_request,
     run_node,
     wait_until,
@@ -20,12 +20,12 @@
     would be cut off at the end of the process, so it is refused with an
     immediate retry on another connection.
     """
-    replicas = [*make_model((0, 8)), *make_plain(1)]
+    replicas = [*make_model_replicas((0, 8)), *make_non_model_replicas(1)]
     async with run_node(replicas, grace=10) as node:
         draining = asyncio.create_task(node.server.drain())
         await wait_until(lambda: node.count('node-draining'))
         status, body, headers = await ask(node, '/plan/x')
-        assert (status, body) == (200, expect_events(5))
+        assert (status, body) == (200, make_event_stream(5))
         assert headers['connection'] == 'close'
         while status == 200:
             status, body, headers = await ask(node, '/plan/x', identity='r-2')
@@ -38,13 +38,13 @@
 
 async def test_stream_in_progress_is_finished() -> None:
     """A stream that began before the drain is cut off by it."""
-    async with run_node(make_model((0, 8)), grace=4) as node:
+    async with run_node(make_model_replicas((0, 8)), grace=4) as node:
         node.replicas['m-0'].pause = 0.3
         async with open_request(node, '/plan/x') as response:
             begun = await response.content.readuntil(b'token 1\n\n')
             await asyncio.gather(node.server.drain(), asyncio.sleep(0))
             rest = await response.read()
-        assert begun + rest == expect_events(5)
+        assert begun + rest == make_event_stream(5)
 
 
 async def test_stopping_node_is_not_ready() -> None:
@@ -52,7 +52,7 @@
 
     The readiness check must fail as soon as the drain begins.
     """
-    async with run_node(make_plain(1), grace=1) as node:
+    async with run_node(make_non_model_replicas(1), grace=1) as node:
         url = f'http://127.0.0.1:{node.server.readiness.port}/readyz'
         async with node.http.get(url) as response:
             assert response.status == 200
--- a/tests/platform/test_limited_replicas.py
+++ b/tests/platform/test_limited_replicas.py
@@ -8,8 +8,8 @@
 from fleet.running import (
     RunningNode,
     ask,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     run_nodes,
     wait_until,
@@ -24,18 +24,18 @@
 
 async def test_reported_limit_is_logged() -> None:
     """The log doesn't show that a replica set or removed its rate limit."""
-    replica = make_plain(1)[0]
-    replica.says = {'Server-Limit': '500'}
+    replica = make_non_model_replicas(1)[0]
+    replica.extra_headers = {'Server-Limit': '500'}
     async with run_node([replica]) as node:
         await ask(node, '/ping/x')
         line = node.find('replica-limited')
         assert (line['replica'], line['limit']) == (replica.name, 500)
-        replica.says = {'Server-Limit': 'plenty'}
+        replica.extra_headers = {'Server-Limit': 'plenty'}
         await asyncio.sleep(0.1)
         await ask(node, '/ping/x')
         assert node.count('limit-unreadable') == 1
         assert not node.count('replica-unlimited')
-        replica.says = {}
+        replica.extra_headers = {}
         await asyncio.sleep(0.1)
         await ask(node, '/ping/x')
         await wait_until(lambda: node.count('replica-unlimited') == 1)
@@ -83,10 +83,10 @@
     The limit applies to the requests of all nodes together.
     """
     streams = path.startswith('/plan')
-    replicas = make_model(*[(0, 8)] * 3) if streams else make_plain(3)
+    replicas = make_model_replicas(*[(0, 8)] * 3) if streams else make_non_model_replicas(3)
     limited = replicas[0]
     async with run_nodes(replicas, 4) as nodes:
-        limited.says = {'Server-Limit': f'{_LIMIT}'}
+        limited.extra_headers = {'Server-Limit': f'{_LIMIT}'}
         reported_at = asyncio.get_running_loop().time()
         seconds = _NOTICE_SECONDS + 2 * _SPAN_SECONDS
         statuses = await _send_for(nodes, path, seconds)
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet.running import RunningNode, make_configuration, make_plain, run_node
+from fleet.running import RunningNode, make_configuration, make_non_model_replicas, run_node
 
 _LIMITS = {
     'maxHeaderBytes': 2000,
@@ -32,14 +32,14 @@
 
 async def test_header_without_an_end_is_refused() -> None:
     """A client that never ends its header fills the memory of the node."""
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         answer = await _send(node, _HEADER_START, b'X-Long: ', b'x' * 3000)
         assert answer.startswith(b'HTTP/1.1 431 ')
         assert node.find('caller-refused')['status'].startswith('431')
 
 
 async def test_large_whole_header_is_refused() -> None:
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         lines = (_HEADER_START, b'X-Long: ', b'x' * 3000, b'\r\n\r\n')
         answer = await _send(node, b''.join(lines))
         assert answer.startswith(b'HTTP/1.1 431 ')
@@ -52,14 +52,14 @@
     The node refuses them, with the promise that nothing ran, and closes the
     connection.
     """
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         answer = await _send(node, _HEADER_START)
         assert answer.startswith(b'HTTP/1.1 408 ')
 
 
 async def test_slow_body_is_refused() -> None:
     """A client that sends a part of a body occupies the node for good."""
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         rest = b'Content-Length: 10\r\n\r\nhalf'
         answer = await _send(node, _HEADER_START, rest)
         assert answer.startswith(b'HTTP/1.1 408 ')
@@ -68,13 +68,13 @@
 
 
 async def test_connection_without_a_request_is_closed() -> None:
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         assert await _send(node) == b''
 
 
 async def test_large_body_is_no_header() -> None:
     """A body beyond the size limit of headers is refused."""
-    async with run_node(make_plain(1), _configure()) as node:
+    async with run_node(make_non_model_replicas(1), _configure()) as node:
         body = b'x' * 9000
         lines = (
             b'Api-Key: ward-1-key\r\nConnection: close\r\n',
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -12,7 +12,7 @@
 from fleet.running import (
     RunningNode,
     make_configuration,
-    make_plain,
+    make_non_model_replicas,
     run_node,
     wait_until,
 )
@@ -80,7 +80,7 @@
 
 async def test_followers_make_no_calls() -> None:
     """A node calls the store although another one watches for both."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         before = _count_watches(node, 'servers')
         await asyncio.sleep(3)
@@ -91,7 +91,7 @@
 
 async def test_changes_reach_followers() -> None:
     """A follower misses a revoked key or a replica that left."""
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         await asyncio.sleep(2.5)
         node.store.put('config', 'main', make_configuration(7, tenants=[]))
         node.store.drop('servers', 'b-0')
@@ -107,7 +107,7 @@
     It has to watch the store itself.
     """
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, lines),
     ):
         await asyncio.sleep(2.5)
@@ -127,7 +127,7 @@
     that has left, and accept a revoked key.
     """
     async with (
-        run_node(make_plain(2)) as node,
+        run_node(make_non_model_replicas(2)) as node,
         _run_second(node) as (app, lines),
     ):
         await asyncio.sleep(2.5)
@@ -161,7 +161,7 @@
     pass on a changed configuration that is so large that they don't send it
     to nodes that can read it themselves.
     """
-    async with run_node(make_plain(2)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(2)) as node, _run_second(node) as (app, _):
         monkeypatch.setattr(
             'ryelatch_core.membership._watchers.MIN_SHARING_NODES', 20
         )
@@ -189,7 +189,7 @@
 
 async def test_bad_frames_end_a_connection_only() -> None:
     """Malformed frames on one connection disturb the node beyond it."""
-    async with run_node(make_plain(1)) as node, _run_second(node) as (app, _):
+    async with run_node(make_non_model_replicas(1)) as node, _run_second(node) as (app, _):
         address = node.app.find('news', PeerSync).address
         for junk in (b'GET / HTTP/1.1\r\n\r\n', b'\0\0\0\1x', b'\xff' * 9):
             reader, writer = await asyncio.open_connection(*address)
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -16,10 +16,10 @@
 
 from fleet.running import (
     KEY,
-    expect_events,
+    make_event_stream,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
 )
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn
@@ -124,7 +124,7 @@
     runners = []
     runner, address = await _serve(store.make_app())
     runners.append(runner)
-    replicas = [*make_model((0, 8), (0, 8)), *make_plain(2)]
+    replicas = [*make_model_replicas((0, 8), (0, 8)), *make_non_model_replicas(2)]
     for replica in replicas:
         replica.store = store
         replica.pause = 0.2
@@ -162,7 +162,7 @@
                 running.nodes[0].stop(signal.SIGTERM)
             )
             rest = await response.read()
-        assert begun + rest == expect_events(5)
+        assert begun + rest == make_event_stream(5)
         lines = await stopping
         assert running.nodes[0].process.returncode == 0
         names = [line['name'] for line in lines]
@@ -184,7 +184,7 @@
             with pytest.raises(ClientError):
                 await response.read()
         async with running.open(1, '/plan/x', 'r-2') as response:  # type: ignore
-            assert await response.read() == expect_events(5)
+            assert await response.read() == make_event_stream(5)
         async with running.open(1, '/book/x', 'r-3') as response:  # type: ignore
             assert response.status == 200
         runs = [run for replica in running.replicas for run in replica.runs]
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -12,8 +12,8 @@
     RunningNode,
     ask,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     run_node,
     run_peer,
     wait_until,
@@ -34,7 +34,7 @@
     **changes: Any,
 ) -> AsyncIterator[RunningNode]:
     for replica in replicas:
-        replica.ends_on = _CRASHING
+        replica.crash_on = _CRASHING
     accounts = [
         {'name': 'ward-1', 'apiKeys': [KEY]},
         {'name': 'ward-2', 'apiKeys': [_OTHER_KEY]},
@@ -52,7 +52,7 @@
 
 
 def _count_crashed(node: RunningNode) -> int:
-    return sum(replica.ended for replica in node.replicas.values())
+    return sum(replica.crashed for replica in node.replicas.values())
 
 
 async def test_refusal_tells_that_it_did_not_run() -> None:
@@ -61,7 +61,7 @@
     Its log line must name the crashes that led to it, so that an operator
     finds the cause by the request's id.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _crash_three(node)
         status, body, headers = await ask(
             node, '/ping/x', identity='again', content=_CRASHING
@@ -86,12 +86,12 @@
     same account may be refused. Otherwise three bad requests of one account
     would block the requests of another.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _crash_three(node)
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
         for replica in node.replicas.values():
-            replica.ends_on = b''
+            replica.crash_on = b''
         status, _, _ = await ask(
             node, '/ping/x', content=_CRASHING, Api_Key=_OTHER_KEY
         )
@@ -103,7 +103,7 @@
 
     At each such restart the request would crash three more replicas.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         await _crash_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
         async with run_peer(node, 'node-b') as peer:
@@ -116,13 +116,13 @@
 async def test_operator_lets_a_request_in_again() -> None:
     """A request stays quarantined after an operator deleted its object."""
     async with (
-        _run_node(make_plain(6)) as node,
+        _run_node(make_non_model_replicas(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
         await _crash_three(node)
         await wait_until(lambda: peer.count('request-quarantined'))
         for replica in node.replicas.values():
-            replica.ends_on = b''
+            replica.crash_on = b''
         node.store.drop(_KIND, _DIGEST)
         await wait_until(lambda: node.count('request-released'))
         await wait_until(lambda: peer.count('request-released'))
@@ -138,7 +138,7 @@
     store is back.
     """
     async with (
-        _run_node(make_plain(6)) as node,
+        _run_node(make_non_model_replicas(6)) as node,
         run_peer(node, 'node-b') as peer,
     ):
         node.store.mode = 'busy'
@@ -150,7 +150,7 @@
 
 async def test_lost_answer_of_the_store_is_settled() -> None:
     """A write whose response is lost is dropped or recorded twice."""
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         node.store.lose_answers = 1
         await _crash_three(node)
         await wait_until(lambda: node.store.get(_KIND, _DIGEST))
@@ -164,7 +164,7 @@
 
     All requests over a link that loses connections would be quarantined.
     """
-    replicas = make_plain(4)
+    replicas = make_non_model_replicas(4)
     async with _run_node(replicas) as node:
         for replica in replicas:
             replica.unframed_part = True
@@ -184,7 +184,7 @@
     VMs are reclaimed one by one, in the middle of streams that began long
     before. The streams are not the cause.
     """
-    replicas = make_model(*[(0, 8)] * 6)
+    replicas = make_model_replicas(*[(0, 8)] * 6)
     for replica in replicas:
         replica.events = 40
         replica.pause = 0.05
@@ -193,7 +193,7 @@
         for _ in range(3):
             running = await _find_running(replicas)
             await asyncio.sleep(0.6)
-            await running.end()
+            await running.crash()
         status, body, _ = await asking
         assert (status, body.count(b'id: ')) == (200, 40)
         assert not node.count('request-suspected')
@@ -205,7 +205,7 @@
     Its connection breaks after those of other streams. By then the node has
     recorded that the replica is lost, and aborts the stream itself.
     """
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     async with _run_node(replicas) as node:
         for replica in replicas:
             replica.hang = True
@@ -226,7 +226,7 @@
     They crash most of a second after they sent the header of the answer.
     Counted from the header, the request ran too long to be the cause.
     """
-    replicas = make_model(*[(0, 8)] * 4)
+    replicas = make_model_replicas(*[(0, 8)] * 4)
     for replica in replicas:
         replica.pause = 0.8
     async with _run_node(replicas) as node:
@@ -242,7 +242,7 @@
 
     Each crash interrupts one of many identical requests.
     """
-    replicas = make_plain(6)
+    replicas = make_non_model_replicas(6)
     async with _run_node(replicas) as node:
         for loss in range(4):
             for number in range(3):
@@ -251,10 +251,10 @@
                 )
                 assert status == 200
             for replica in replicas:
-                replica.ends_on = b'question'
+                replica.crash_on = b'question'
             await ask(node, '/book/x', identity=f'lost-{loss}')
             for replica in replicas:
-                replica.ends_on = b''
+                replica.crash_on = b''
         assert _count_crashed(node) == 4
         assert not node.count('request-suspected')
         assert not node.count('request-quarantined')
@@ -266,7 +266,7 @@
     Runs lost with their replica weren't counted as attempts, as a stream need
     not fail when its replica is lost.
     """
-    async with _run_node(make_model(*[(0, 8)] * 8)) as node:
+    async with _run_node(make_model_replicas(*[(0, 8)] * 8)) as node:
         await ask(node, '/plan/x', content=_CRASHING)
         assert _count_crashed(node) == 2
 
@@ -288,7 +288,7 @@
 
     Other programs may write to the store.
     """
-    async with _run_node(make_plain(6)) as node:
+    async with _run_node(make_non_model_replicas(6)) as node:
         node.store.put(_KIND, name, spec)
         await wait_until(lambda: node.count('configuration-refused'))
         status, _, _ = await ask(node, '/ping/x')
--- a/tests/platform/test_registry.py
+++ b/tests/platform/test_registry.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet.running import ask, expect_events, make_model, run_node, wait_until
+from fleet.running import ask, make_event_stream, make_model_replicas, run_node, wait_until
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import BootClock, Hub
 from ryelatch_core.membership import NEVER, compute_departure_bounds
@@ -180,11 +180,11 @@
 
 async def test_others_serve_beside_foreign_entries() -> None:
     """Foreign entries in the list and in changes stop requests."""
-    async with run_node(make_model((0, 4), (4, 8))) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8))) as node:
         for number, spec in enumerate([None, 5, 'x', {}, {'service': 'model'}]):
             node.store.put('servers', f'x-{number}', spec)
         await wait_until(lambda: node.count('entry-refused') == 5)
         node.store.forget_history()
         await wait_until(lambda: node.count('history-lost') >= 2)
         _, body, _ = await ask(node, '/plan/x')
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from fleet.running import make_plain, run_node
+from fleet.running import make_non_model_replicas, run_node
 from ryelatch_platform._reload import SettingsReloader
 
 _FILE = """
@@ -26,7 +26,7 @@
     """
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         watch = SettingsReloader(node.app, path)
         path.write_text(_FILE.format(revoke=1000, extra=8))
         watch.reload()
@@ -42,7 +42,7 @@
     """An invalid settings file stops the process, or isn't reported."""
     path = tmp_path / 'settings.toml'
     path.write_text(_FILE.format(revoke=5000, extra=200))
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         watch = SettingsReloader(node.app, path)
         path.write_text('nodeName = 3')
         watch.reload()
--- a/tests/platform/test_start_in_outage.py
+++ b/tests/platform/test_start_in_outage.py
@@ -151,7 +151,7 @@
         _UNSHARED,
         20,
         0,
-        shared_wait=10,
+        shared_wait_seconds=10,
         replace=lambda listed, known, unanswered: None,
         put=lambda found, known: None,
         remove=lambda name, unanswered: None,
--- a/tests/platform/test_stream_migration.py
+++ b/tests/platform/test_stream_migration.py
@@ -6,8 +6,8 @@
 import pytest
 
 from fleet.running import (
-    expect_events,
-    make_model,
+    make_event_stream,
+    make_model_replicas,
     open_request,
     run_node,
     wait_until,
@@ -37,7 +37,7 @@
     It announces its departure seconds before it stops. The streams must be
     migrated to another path meanwhile, unnoticed by clients.
     """
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
         first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -59,7 +59,7 @@
     It loads them once no stream uses its old layers any more. With long
     answers its zone lacks layers for seven seconds.
     """
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)))
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)))
     async with run_node(replicas) as node:
         first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -81,7 +81,7 @@
     Two first replicas stall in turn, and the node itself aborts both runs.
     They count as attempts although neither replica is lost.
     """
-    replicas = make_model((0, 8), (0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8), (0, 8))
     for replica in replicas:
         replica.stall_after = 2
         replica.stalls = 9
@@ -108,18 +108,18 @@
     """
     for name in ('MAX_REPAIR_WAIT_SECONDS', 'GIVE_UP_SECONDS'):
         monkeypatch.setattr(f'ryelatch_node.relay._watch.{name}', 60)
-    async with run_node(make_model((0, 4), (4, 8), None)) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), None)) as node:
         first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         first_replica.stall_after = 2
-        first_replica.stalled_on = lost.address
+        first_replica.stalled_address = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
             await asyncio.sleep(0.3)
             spare.layers = (4, 8)
             spare.register()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert spare.address in _list_moves(first_replica)[0]
         assert len(first_replica.runs) == 1
 
@@ -129,7 +129,7 @@
 
     It can't be resumed elsewhere any more, but goes on if its replica does.
     """
-    replicas = make_model((0, 8), (0, 8))
+    replicas = make_model_replicas((0, 8), (0, 8))
     for replica in replicas:
         replica.stall_after = 2
     async with run_node(replicas) as node:
@@ -139,7 +139,7 @@
             await asyncio.sleep(1.6)
             second.resume()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
 
 
 async def test_leaving_first_replica_keeps_its_streams(
@@ -154,7 +154,7 @@
     monkeypatch.setattr(
         'ryelatch_node.relay._migration_planner.LEAVING_SECONDS', 0
     )
-    replicas = _slow_down(make_model((0, 4), (4, 8), (4, 8)), 8)
+    replicas = _slow_down(make_model_replicas((0, 4), (4, 8), (4, 8)), 8)
     async with run_node(replicas) as node:
         first_replica = node.replicas['m-0']
         async with open_request(node, '/plan/x') as response:
@@ -174,11 +174,11 @@
     Retries avoid a replica that failed if there are others. As there are
     none, the second attempt has to use it again.
     """
-    replicas = make_model((0, 8))
+    replicas = make_model_replicas((0, 8))
     replicas[0].failures = 1
     async with run_node(replicas) as node:
         async with open_request(node, '/plan/x') as response:
-            assert await response.read() == expect_events(5)
+            assert await response.read() == make_event_stream(5)
         assert len(node.replicas['m-0'].runs) == 2
 
 
@@ -192,11 +192,11 @@
     wait until the layers are held again.
     """
     monkeypatch.setattr('ryelatch_node.relay._watch.GIVE_UP_SECONDS', 60)
-    async with run_node(make_model((0, 4), (4, 8), None)) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), None)) as node:
         first_replica, lost, spare = node.replicas.values()
         spare.fence = 99  # its orders are refused; the test loads it
         first_replica.stall_after = 2
-        first_replica.stalled_on = lost.address
+        first_replica.stalled_address = lost.address
         async with open_request(node, '/plan/x') as response:
             await wait_until(lambda: node.count('replica-suspected'))
             # Longer than a stream waits for a repair that is due soon.
@@ -204,7 +204,7 @@
             spare.layers = (4, 8)
             spare.register()
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert len(first_replica.runs) == 1
 
 
@@ -214,20 +214,20 @@
     A replica of its path is lost. A new run would exceed the budget; a
     migration is no retry, as the first replica continues the stream.
     """
-    model = make_model((0, 4), (4, 8), (0, 8))
+    model = make_model_replicas((0, 4), (4, 8), (0, 8))
     model[2].zone = 'zone-b'
     async with run_node(model) as node:
         budget = node.app.find('streams', StreamWatch).context.budget
         replicas = list(node.replicas.values())
         for replica in replicas:
             replica.stall_after = 2
-            replica.stalled_on = replicas[1].address
+            replica.stalled_address = replicas[1].address
         replicas[2].stalls = 0
         async with open_request(node, '/plan/x') as response:
             while budget.spend():
                 """Use up the retry budget."""
             body = await response.read()
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         runs = [
             run for stand_in in node.replicas.values() for run in stand_in.runs
         ]
@@ -240,7 +240,7 @@
     The stream finishes while the command to migrate it is in transit. The
     command fails, and there is nothing left to abort.
     """
-    async with run_node(make_model((0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8))) as node:
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             streams = node.app.find('streams', StreamWatch).streams
--- a/tests/platform/test_views.py
+++ b/tests/platform/test_views.py
@@ -8,8 +8,8 @@
     RunningNode,
     ask,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     make_route,
     run_node,
     wait_until,
@@ -29,7 +29,7 @@
 
 async def test_new_configuration_is_in_force() -> None:
     """A revoked key still works, or a new one doesn't."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
             'config', 'main', make_configuration(7, tenants=accounts)
@@ -47,7 +47,7 @@
     A lagging part of the store returns it. Going back would undo what
     operators saw confirmed.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.store.put('config', 'main', make_configuration(9))
         await wait_until(lambda: node.count('configuration-applied') == 2)
         node.store.put('config', 'main', make_configuration(5, tenants=[]))
@@ -62,7 +62,7 @@
     Watches received no events before that. Without a new list a revoked key
     stays accepted, and a replica that has left gets requests.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.store.deaf = True
         accounts = [{'name': 'ward-1', 'apiKeys': ['new-key']}]
         node.store.put(
@@ -96,7 +96,7 @@
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
         node.store.drop('servers', 'b-0')
@@ -120,7 +120,7 @@
     follow = 'ryelatch_platform._kinds'
     monkeypatch.setattr(f'{follow}.REGISTRY_WAIT', 60)
     monkeypatch.setattr(f'{follow}.CONFIGURATION_WAIT', 0.2)
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         await wait_until(lambda: _count_watches(node) > 0)
         node.store.deaf = True
         node.store.drop('servers', 'b-0')
@@ -141,7 +141,7 @@
     confirms them.
     """
     monkeypatch.setattr('ryelatch_platform._kinds.CONFIGURATION_WAIT', 4)
-    async with run_node(make_plain(1), revoke_seconds=6) as node:
+    async with run_node(make_non_model_replicas(1), revoke_seconds=6) as node:
         await asyncio.sleep(3.5)
         node.store.put('config', 'main', make_configuration(7))
         await wait_until(lambda: node.count('configuration-applied') == 2)
@@ -156,7 +156,7 @@
     After a bound it must refuse keyed requests, with a promise that they
     did not run, and serve again once it has caught up with the store.
     """
-    async with run_node(make_plain(1), revoke_seconds=2.5) as node:
+    async with run_node(make_non_model_replicas(1), revoke_seconds=2.5) as node:
         status, _, _ = await ask(node, '/ping/x')
         assert status == 200
         node.store.mode = 'silent'
@@ -179,7 +179,7 @@
 
     It has no configuration yet, so it can't rule out that a route exists.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         view = node.app.find('configuration', object)
         view.table = None  # type: ignore[attr-defined]
         status, _, _ = await ask(node, '/ping/x')
@@ -192,7 +192,7 @@
     A freshly started node hasn't listed the replicas yet. That it has no
     layers in its view doesn't mean that they are missing.
     """
-    async with run_node(make_model((0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8))) as node:
         node.app.find('replicas', ReplicaView).listed = False
         status, body, headers = await ask(node, '/plan/x')
         assert status == 503
@@ -201,7 +201,7 @@
 
 
 async def test_leaving_replica_gets_no_new_work() -> None:
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].register('draining')
         await wait_until(lambda: node.count('replica-leaving'))
         for number in range(4):
@@ -215,7 +215,7 @@
     Their replicas are running, and no replica would be left to serve. The
     entries are kept until running replicas had time to register again.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.store.mode = 'busy'
         await wait_until(lambda: node.count('store-out'))
         node.store.drop('servers', 'b-0')
@@ -230,7 +230,7 @@
 
 
 async def test_added_route_is_served() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         routes = [make_route('ping'), make_route('extra')]
         node.store.put('config', 'main', make_configuration(2, routes=routes))
         await wait_until(lambda: node.count('configuration-applied') == 2)
@@ -240,7 +240,7 @@
 
 async def test_unreadable_configuration_is_let_be() -> None:
     """An unreadable configuration replaces the one that is in force."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.store.put('config', 'main', {'version': 'seven'})
         await wait_until(lambda: node.count('configuration-refused'))
         assert 'version' in node.find('configuration-refused')['reason']
@@ -252,7 +252,7 @@
 
 async def test_empty_fleet_is_placed() -> None:
     """A fleet of replicas without layers is never assigned any."""
-    async with run_node(make_model(None, None, None, None)) as node:
+    async with run_node(make_model_replicas(None, None, None, None)) as node:
         await wait_until(lambda: node.count('order-sent') >= 2)
         await wait_until(
             lambda: all(replica.layers for replica in node.replicas.values())
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -8,10 +8,10 @@
 from fleet.running import (
     KEY,
     ask,
-    expect_events,
+    make_event_stream,
     make_configuration,
-    make_model,
-    make_plain,
+    make_model_replicas,
+    make_non_model_replicas,
     make_route,
     open_request,
     run_node,
@@ -21,7 +21,7 @@
 
 
 async def test_plain_answer_is_passed_on_byte_for_byte() -> None:
-    async with run_node(make_plain()) as node:
+    async with run_node(make_non_model_replicas()) as node:
         status, body, headers = await ask(node, '/ping/a%2Fb?x=%20y')
         serving = next(
             replica for replica in node.replicas.values() if replica.runs
@@ -41,10 +41,10 @@
 
 
 async def test_stream_passes_through_all_layers() -> None:
-    async with run_node(make_model((0, 3), (3, 8))) as node:
+    async with run_node(make_model_replicas((0, 3), (3, 8))) as node:
         status, body, headers = await ask(node, '/plan/x')
         assert status == 200
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         assert headers['x-ryelatch-replica-signature'] == 'signed-m-0'
         first, second = node.replicas['m-0'], node.replicas['m-1']
         path = first.runs[0].headers['X-Ryelatch-Hop-Count']
@@ -53,7 +53,7 @@
 
 async def test_client_cannot_set_what_the_router_sets() -> None:
     """A client sets headers that name another account and its own path."""
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         await ask(
             node,
             '/ping/x',
@@ -71,7 +71,7 @@
 
 
 async def test_unknown_route_and_key_are_denied() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         status, _, _ = await ask(node, '/nowhere/x')
         assert status == 404
         status, _, _ = await ask(node, '/ping/x', Api_Key='stolen')
@@ -80,7 +80,7 @@
 
 
 async def test_body_beyond_the_limit_is_refused() -> None:
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         headers = {'Host': 'city.example', 'Api-Key': KEY}
         async with node.http.post(
             f'{node.url}/ping/x', data=b'x' * 20_000, headers=headers
@@ -95,7 +95,7 @@
     The replica answers 500. The request may run twice, so the client has to
     get the answer of another replica.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].fail = 500
         node.replicas['b-1'].zone = 'zone-b'
         node.replicas['b-1'].register()
@@ -107,7 +107,7 @@
 
 async def test_failed_booking_is_passed_on() -> None:
     """A booking that failed at its replica, and may have run, runs again."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         for replica in node.replicas.values():
             replica.fail = 500
         status, body, headers = await ask(node, '/book/x')
@@ -120,7 +120,7 @@
 
 async def test_refused_booking_is_tried_elsewhere() -> None:
     """A booking fails although its replica promised that it didn't run."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].refuse = 503
         for number in range(4):
             status, body, _ = await ask(node, '/book/x', identity=f'r-{number}')
@@ -135,7 +135,7 @@
     """
     routes = [make_route('book', routeKind='non_idempotent', timeoutMs=400)]
     configuration = make_configuration(routes=routes)
-    async with run_node(make_plain(2), configuration) as node:
+    async with run_node(make_non_model_replicas(2), configuration) as node:
         for replica in node.replicas.values():
             replica.hang = True
         started = asyncio.get_running_loop().time()
@@ -150,7 +150,7 @@
 
 async def test_all_full_is_refused_at_once() -> None:
     """A client waits, or gets no ``Retry-After``, while replicas are full."""
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         for replica in node.replicas.values():
             replica.refuse = 503
         status, _, headers = await ask(node, '/book/x')
@@ -164,7 +164,7 @@
     A replica sends a late answer on a connection where the answer to a newer
     request is due.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.replicas['b-0'].other_identity = True
         status, body, _ = await ask(node, '/ping/x')
         assert status == 502
@@ -177,7 +177,7 @@
     The replica sends a body without a length, and its connection is reset,
     which must not count as the end of the body.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.replicas['b-0'].unframed_part = True
         status, body, _ = await ask(node, '/book/x')
         assert status == 502
@@ -190,12 +190,12 @@
     The first replica is lost in the middle of an event. The client has to get
     each event complete, once and in order, under the original signature.
     """
-    async with run_node(make_model((0, 8), (0, 8))) as node:
+    async with run_node(make_model_replicas((0, 8), (0, 8))) as node:
         for replica in node.replicas.values():
             replica.break_after = 2
         status, body, headers = await ask(node, '/plan/x')
         assert status == 200
-        assert body == expect_events(5)
+        assert body == make_event_stream(5)
         runs = [
             run for stand_in in node.replicas.values() for run in stand_in.runs
         ]
@@ -217,13 +217,13 @@
         )
     ]
     configuration = make_configuration(routes=routes)
-    async with run_node(make_model((0, 8)), configuration) as node:
+    async with run_node(make_model_replicas((0, 8)), configuration) as node:
         node.replicas['m-0'].break_after = 2
         async with open_request(node, '/plan/x') as response:
             received = await response.content.readuntil(b'token 2\n\n')
             with pytest.raises(aiohttp.ClientError):
                 await response.content.read()
-        assert received == expect_events(2)
+        assert received == make_event_stream(2)
         await wait_until(lambda: node.count('exchange-broken'))
 
 
@@ -233,14 +233,14 @@
     The first replica reports the lost one. The stream has to migrate to
     another path and go on without a new run.
     """
-    async with run_node(make_model((0, 4), (4, 8), (4, 8))) as node:
+    async with run_node(make_model_replicas((0, 4), (4, 8), (4, 8))) as node:
         first_replica = node.replicas['m-0']
         first_replica.stall_after = 2
         async with open_request(node, '/plan/x') as response:
             await response.content.readuntil(b'token 1\n\n')
             sent = node.find('exchange-sent')['path']
             lost = node.replicas[sent[1][0]]
-            first_replica.stalled_on = lost.address
+            first_replica.stalled_address = lost.address
             rest = await response.read()
         assert rest.endswith(b'data: token 5\n\n')
         moved = next(
@@ -255,7 +255,7 @@
 async def test_missing_layers_are_refused_at_once() -> None:
     """A client waits although no replica holds some of the layers."""
     small = [(0, 3), (5, 8)]
-    async with run_node(make_model(*small)) as node:
+    async with run_node(make_model_replicas(*small)) as node:
         for replica in node.replicas.values():
             replica.fence = 99  # repairs are refused
         status, _, headers = await ask(node, '/plan/x')
@@ -269,7 +269,7 @@
 
     The request would occupy a slot that others could use.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         replica = node.replicas['b-0']
         replica.hang = True
         asking = asyncio.create_task(ask(node, '/ping/x'))
@@ -284,7 +284,7 @@
 
     Nothing was sent, so it may go to another replica.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         gone = node.replicas['b-0']
         gone.address = '127.0.0.1:1'
         gone.register()
@@ -300,7 +300,7 @@
     A replica was restarted under another name at the same address. It refuses
     the booking, which thus didn't run and may go to another replica.
     """
-    async with run_node(make_plain(2)) as node:
+    async with run_node(make_non_model_replicas(2)) as node:
         node.replicas['b-0'].name = 'b-0-restarted'
         for number in range(4):
             status, body, _ = await ask(node, '/book/x', identity=f'r-{number}')
@@ -314,7 +314,7 @@
     The lists arrive within milliseconds. Clients retry only once, so a refusal
     may lose the request.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
         asking = asyncio.create_task(ask(node, '/ping/x'))
         await asyncio.sleep(0.05)
@@ -328,7 +328,7 @@
 
     The client has to be refused soon, so that another node serves it.
     """
-    async with run_node(make_plain(1)) as node:
+    async with run_node(make_non_model_replicas(1)) as node:
         node.app.find('replicas', ReplicaView).listed = False
         status, _, headers = await ask(node, '/ping/x')
         assert status == 503
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -212,14 +212,14 @@
             await book(fleet, node, 'warm')
             seen = [
                 await fleet.inspect(fleet.processes[name], 'runs')
-                for name in fleet.shape.plain
+                for name in fleet.shape.non_model
             ]
             return all(one['runs'] for one in seen)
 
         await fleet.wait_for(all_warm)
-        await fleet.silence(fleet.platform)
-        for name in fleet.shape.plain:
-            await fleet.silence(fleet.processes[name])
+        await fleet.silence_connections(fleet.platform)
+        for name in fleet.shape.non_model:
+            await fleet.silence_connections(fleet.processes[name])
 
         async def booked() -> bool:
             return (await book(fleet, node, 'p', 'key-1'))[0] == 201
--- a/tests/promises/test_bad_input.py
+++ b/tests/promises/test_bad_input.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fleet.caller import Heard, ask, read_answer
+from fleet.caller import StreamedAnswer, ask, read_answer
 from fleet.checks import check_streams_freed
 from fleet.fleet import Fleet, make_shape, run_fleet
 
@@ -134,7 +134,7 @@
     the client disconnects, its streams are closed and freed.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        slow = Heard()
+        slow = StreamedAnswer()
         slow_request = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], 'ward-1-key', 'y', 1000, slow)
         )
--- a/tests/promises/test_layers.py
+++ b/tests/promises/test_layers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import (
     check_layers_once,
     check_streams_freed,
@@ -20,18 +20,18 @@
 _TOKENS = 60
 
 
-async def _start_answer(fleet: Fleet, received: Heard) -> asyncio.Task[Heard]:
+async def _start_answer(fleet: Fleet, received: StreamedAnswer) -> asyncio.Task[StreamedAnswer]:
     return asyncio.create_task(
         ask(fleet.http, fleet.nodes[0], _KEY, _CONTENT, _TOKENS, received)
     )
 
 
-async def _wait_tokens(fleet: Fleet, received: Heard, count: int) -> list[str]:
+async def _wait_tokens(fleet: Fleet, received: StreamedAnswer, count: int) -> list[str]:
     await fleet.wait_until(lambda: len(received.text) >= count)
     return await find_chain(fleet, received.headers['x-ryelatch-request'])
 
 
-async def _check_complete(fleet: Fleet, received: Heard) -> None:
+async def _check_complete(fleet: Fleet, received: StreamedAnswer) -> None:
     assert received.text == complete_chat(_CONTENT, 12, _TOKENS)
     assert received.done
     assert received.finish == 'length'
@@ -49,7 +49,7 @@
     token delivered.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         chain = await _wait_tokens(fleet, received, after)
         await fleet.processes[chain[stage]].kill()
@@ -64,7 +64,7 @@
     killed before that chain has generated a token.
     """
     async with run_fleet(make_shape(nodes=1, replicas=3)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         chain = await _wait_tokens(fleet, received, 10)
         await asyncio.gather(
@@ -90,7 +90,7 @@
     were accepted, one position would have two tokens.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         chain = await _wait_tokens(fleet, received, 10)
         paused = fleet.processes[chain[1]]
@@ -109,7 +109,7 @@
     running the step twice.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         await _wait_tokens(fleet, received, 10)
         engine = fleet.processes['engine-1a']
@@ -130,7 +130,7 @@
     together cover each layer once.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         chain = await _wait_tokens(fleet, received, 10)
         await fleet.control(fleet.processes[chain[1]], 'state', change)
@@ -145,7 +145,7 @@
     step, so the attempt fails, and an event is recorded.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         chain = await _wait_tokens(fleet, received, 10)
         faulty = fleet.processes[chain[1]]
@@ -162,11 +162,11 @@
     are sent again on new connections, and the same attempt continues.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = await _start_answer(fleet, received)
         await _wait_tokens(fleet, received, 10)
         for spec in fleet.shape.engines:
-            await fleet.silence(fleet.processes[spec.name])
+            await fleet.silence_connections(fleet.processes[spec.name])
         await answering
         await _check_complete(fleet, received)
         assert not await list_events(fleet, 'chain-lost')
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import book, count_runs, read_ledgers
 from fleet.fleet import Fleet, make_shape, run_fleet
 from standins.model import complete_chat
@@ -52,7 +52,7 @@
     steps of new ones.
     """
     async with run_fleet(make_shape()) as fleet:
-        received = [Heard() for _ in range(9)]
+        received = [StreamedAnswer() for _ in range(9)]
         answering = [
             asyncio.create_task(
                 ask(
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import book, count_runs, read_ledgers, set_booking_faults
 from fleet.fleet import make_shape, run_fleet
 
@@ -25,7 +25,7 @@
     shape = make_shape(nodes=1, tweak=_make_short)
     async with run_fleet(shape) as fleet:
         node = fleet.nodes[0]
-        first = Heard()
+        first = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, node, _KEY, 'first', 600, first)
         )
@@ -56,12 +56,12 @@
     certain, and the same key goes through once a service is back.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        for name in fleet.shape.plain:
+        for name in fleet.shape.non_model:
             await fleet.processes[name].kill()
         node = fleet.nodes[0]
         status, outcome, _ = await book(fleet, node, 'van 1', 'key-1')
         assert (status, outcome) == (503, 'not-run')
-        await fleet.start_plain('booking-1', 'hcm-q1')
+        await fleet.start_non_model('booking-1', 'hcm-q1')
 
         async def booked() -> bool:
             return (await book(fleet, node, 'van 1', 'key-1'))[0] == 201
@@ -137,7 +137,7 @@
     never an answer that only looks whole.
     """
     async with run_fleet(make_shape(nodes=1, replicas=1)) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEY, 'x', 500, heard)
         )
--- a/tests/promises/test_own_answer.py
+++ b/tests/promises/test_own_answer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import check_layers_once, check_streams_freed, list_events
 from fleet.fleet import make_shape, run_fleet
 from standins.model import complete_chat
@@ -29,7 +29,7 @@
                 fleet.processes[name], 'state', {'faults': faults}
             )
         contents = [f'question {index} ' * 5 for index in range(_CLIENTS)]
-        received = [Heard() for _ in contents]
+        received = [StreamedAnswer() for _ in contents]
         answering = [
             asyncio.create_task(
                 ask(
@@ -62,7 +62,7 @@
     answer of the node is correct.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        received = Heard()
+        received = StreamedAnswer()
         answering = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEYS[0], 'long', 1000, received)
         )
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import book, count_runs, set_booking_faults
 from fleet.fleet import Fleet, make_shape, run_fleet
 from fleet.processes import Process
@@ -40,14 +40,14 @@
     """
     async with run_fleet(make_shape()) as fleet:
         stop = asyncio.Event()
-        answers: list[tuple[str, Heard]] = []
+        answers: list[tuple[str, StreamedAnswer]] = []
 
         async def send_requests(number: int) -> None:
             turn = number
             while not stop.is_set():
                 turn += 1
                 node = await _choose_node(fleet, turn)
-                received = Heard()
+                received = StreamedAnswer()
                 content = f'caller {number} turn {turn}'
                 answers.append((content, received))
                 await ask(fleet.http, node, _KEY, content, 40, received)
@@ -75,7 +75,7 @@
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
         node = fleet.nodes[0]
-        received = Heard()
+        received = StreamedAnswer()
         await set_booking_faults(fleet, slow=0.5)
         answering = asyncio.create_task(
             ask(fleet.http, node, _KEY, 'long', _TOKENS, received)
@@ -127,7 +127,7 @@
 
     async with run_fleet(make_shape(nodes=1, tweak=limit_slots)) as fleet:
         node = fleet.nodes[0]
-        received = [Heard() for _ in range(6)]
+        received = [StreamedAnswer() for _ in range(6)]
         answering = [
             asyncio.create_task(
                 ask(fleet.http, node, _KEY, f'{index}', 60, answer)
--- a/tests/promises/test_repair.py
+++ b/tests/promises/test_repair.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import check_layers_once, list_events
 from fleet.fleet import (
     PLATFORM_TOKEN,
@@ -27,7 +27,7 @@
     that others can spare, and the answer goes on where it was.
     """
     async with run_fleet(make_shape()) as fleet:
-        heard = Heard()
+        heard = StreamedAnswer()
         asking = asyncio.create_task(
             ask(fleet.http, fleet.nodes[0], _KEY, 'wool', 300, heard)
         )
--- a/tests/promises/test_security.py
+++ b/tests/promises/test_security.py
@@ -58,7 +58,7 @@
         writer.close()
         seen = [
             headers
-            for name in fleet.shape.plain
+            for name in fleet.shape.non_model
             for headers in (await fleet.inspect(fleet.processes[name], 'runs'))[
                 'headers'
             ]
--- a/tests/promises/test_slow_engines.py
+++ b/tests/promises/test_slow_engines.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import check_layers_once, list_events
 from fleet.fleet import make_shape, run_fleet
 from standins.model import complete_chat
@@ -17,7 +17,7 @@
     new ones avoid it.
     """
     async with run_fleet(make_shape(nodes=1)) as fleet:
-        heard = [Heard() for _ in range(6)]
+        heard = [StreamedAnswer() for _ in range(6)]
         asking = [
             asyncio.create_task(
                 ask(fleet.http, fleet.nodes[0], _KEY, f'{index}', 300, one)
--- a/tests/promises/test_zones.py
+++ b/tests/promises/test_zones.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-from fleet.caller import Heard, ask
+from fleet.caller import StreamedAnswer, ask
 from fleet.checks import (
     book,
     check_layers_once,
@@ -26,7 +26,7 @@
     """
     async with run_fleet(make_shape()) as fleet:
         node = fleet.processes['node-c']
-        heard = [Heard() for _ in range(8)]
+        heard = [StreamedAnswer() for _ in range(8)]
         asking = [
             asyncio.create_task(
                 ask(fleet.http, node, _KEY, f'{index}', 150, one)
--- a/tests/soak/asking.py
+++ b/tests/soak/asking.py
@@ -43,7 +43,7 @@
         """Press on a replica in need, once the nodes are well."""
         loop = asyncio.get_running_loop()
         replica = self.chance.choice(self._list_plain())
-        replica.says = {'Server-Limit': f'{LIMIT}'}
+        replica.extra_headers = {'Server-Limit': f'{LIMIT}'}
         self.world.limited = (replica.name, loop.time())
         async with ClientSession() as http, asyncio.TaskGroup() as group:
             ends = loop.time() + _PRESS_SECONDS
@@ -51,7 +51,7 @@
                 node = self.chance.choice(self.world.nodes)
                 group.create_task(self.clients.send(http, node, 'ping', KEY))
                 await asyncio.sleep(_PAUSE_SECONDS)
-        replica.says = {}
+        replica.extra_headers = {}
 
     async def stop(self) -> None:
         """Let them ask no more."""
@@ -59,7 +59,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for replica in self.world.replicas:
-            replica.says = {}
+            replica.extra_headers = {}
 
     def _list_plain(self) -> list[ReplicaStandIn]:
         present = self.world.list_present()
@@ -71,16 +71,16 @@
             await spell(replica)
 
     async def _limit(self, replica: ReplicaStandIn) -> None:
-        replica.says = {'Server-Limit': f'{self.chance.uniform(0, 9):.2f}'}
+        replica.extra_headers = {'Server-Limit': f'{self.chance.uniform(0, 9):.2f}'}
         await asyncio.sleep(self.chance.uniform(*_SPELL_SECONDS))
-        replica.says = {}
+        replica.extra_headers = {}
 
     async def _rest(self, replica: ReplicaStandIn) -> None:
-        replica.says = {'Retry-After': f'{self.chance.uniform(0, 3):.2f}'}
+        replica.extra_headers = {'Retry-After': f'{self.chance.uniform(0, 3):.2f}'}
         replica.refuse = 503
         try:
             await asyncio.sleep(self.chance.uniform(*_SPELL_SECONDS))
         finally:
             # Also where this is cancelled, or it would refuse for good.
             replica.refuse = 0
-        replica.says = {}
+        replica.extra_headers = {}
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from fleet.running import expect_events
+from fleet.running import make_event_stream
 from soak.asking import LIMIT, NOTICE_SECONDS, SPAN_SECONDS
 from soak.clients import Attempt, Clients
 from soak.crashing import CRASHING_KINDS, find_digest
@@ -29,7 +29,7 @@
 
 def check_answers(world: World, clients: Clients) -> Iterator[str]:
     """Whole answers are right and the client's own; others are prefixes."""
-    streams = [expect_events(count) for count in range(EVENTS + 1)]
+    streams = [make_event_stream(count) for count in range(EVENTS + 1)]
     for attempt in clients.attempts:
         if attempt.status != 200:
             continue
@@ -108,14 +108,14 @@
     While faults go on a node may not be able to hear of the ends; in calm all
     know of them.
     """
-    ended = sum(one.ended for one in world.replicas)
+    crashed = sum(one.crashed for one in world.replicas)
     late = [
         run
         for _, run in _list_runs(world)
         if run.body == CRASHING and run.at > world.calm
     ]
     if len(late) > MOST_RETRIES:
-        yield f'{ended} replicas ended, in calm under {late}'
+        yield f'{crashed} replicas ended, in calm under {late}'
     known = {find_digest(kind) for kind in CRASHING_KINDS}
     for node in world.nodes:
         for line in node.read_lines():
--- a/tests/soak/crashing.py
+++ b/tests/soak/crashing.py
@@ -75,7 +75,7 @@
         """Start ended replicas again, as other lives at other addresses."""
         while True:
             for replica in self.world.list_present():
-                if replica.ended and replica.name not in self._replaced:
+                if replica.crashed and replica.name not in self._replaced:
                     self._replaced.add(replica.name)
                     self._tasks.append(
                         asyncio.create_task(self._start_again(replica))
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,7 +16,7 @@
 
 from aiohttp import ClientError, ClientSession, web
 
-from fleet.running import KEY, make_configuration, make_model, make_plain
+from fleet.running import KEY, make_configuration, make_model_replicas, make_non_model_replicas
 from soak.links import Link
 from standins.objects import ObjectStore
 from standins.replica import ReplicaStandIn
@@ -143,7 +143,7 @@
         link = await self._open_link(replica.make_app())
         self.links[replica.name] = link
         replica.stop_listening = link.close
-        replica.ends_on = CRASHING
+        replica.crash_on = CRASHING
         replica.address = link.address
         self.replicas.append(replica)
         replica.register()
@@ -242,8 +242,8 @@
 
 
 async def _populate(world: World, folder: Path) -> None:
-    replicas = make_model((0, 8), (0, 8), (0, 4), (4, 8), (4, 8), None)
-    replicas += make_plain(3)
+    replicas = make_model_replicas((0, 8), (0, 8), (0, 4), (4, 8), (4, 8), None)
+    replicas += make_non_model_replicas(3)
     for replica in replicas:
         await world.add_replica(replica)
     for number in range(NODES):
--- a/tests/soak_tests/test_checks.py
+++ b/tests/soak_tests/test_checks.py
@@ -7,7 +7,7 @@
 import pytest
 from multidict import CIMultiDict
 
-from fleet.running import KEY, expect_events
+from fleet.running import KEY, make_event_stream
 from soak.checks import check_recovery, list_violations
 from soak.clients import Attempt, Clients
 from soak.world import EVENTS, SPARE_KEY, World
@@ -28,7 +28,7 @@
     world = World(random.Random(1), ObjectStore())
     replica = ReplicaStandIn('b-0', 'booking')
     world.replicas.append(replica)
-    body = expect_events(EVENTS) if kind == 'plan' else b'answer of b-0'
+    body = make_event_stream(EVENTS) if kind == 'plan' else b'answer of b-0'
     attempt = Attempt('r-1', kind, KEY, 1, 200, True, 'signed-b-0', body)
     replica.runs.append(_make_run(attempt))
     clients = Clients(world, [attempt])
--- a/tests/soak_tests/test_soak.py
+++ b/tests/soak_tests/test_soak.py
@@ -39,7 +39,7 @@
     assert not outcome.violations
 
 
-async def test_replicas_that_ask_are_heeded(tmp_path: Path) -> None:
+async def test_rate_limits_of_replicas_are_observed(tmp_path: Path) -> None:
     """Amid faults, a replica in need gets too much, or nothing any more."""
     outcome = await play_seed(ASKING_SEED, CI_SECONDS, tmp_path, asking=True)
     assert outcome.faults
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -42,7 +42,7 @@
     :param stall_after: event after which the stream stands still until its
         path is another.
     :param stalls: how many streams stand still.
-    :param stalled_on: the address that the report then names.
+    :param stalled_address: the address that the report then names.
     :param refuse: status of refusals, each with the "not run" mark.
     :param fail: status of its own failures.
     :param failures: requests that it fails before it is well.
@@ -50,10 +50,10 @@
     :param other_identity: whether it answers under another request's name.
     :param born: milliseconds; 0 if it does not say when it began.
     :param unframed_part: whether it sends a part without a length and resets.
-    :param ends_on: body of a request under which it ends, once the head of
+    :param crash_on: body of a request under which it ends, once the head of
         its answer has gone out; nothing can be reached there from then on.
-    :param ended: whether it has.
-    :param says: headers that it adds to all its answers.
+    :param crashed: whether it has.
+    :param extra_headers: headers that it adds to all its answers.
     :param refusals: when it refused, by the loop's clock.
     :param reports: how often it was asked for one.
     :param stop_listening: makes its address refuse connections.
@@ -69,16 +69,16 @@
     break_after: int = 0
     stall_after: int = 0
     stalls: int = 1
-    stalled_on: str = ''
+    stalled_address: str = ''
     refuse: int = 0
     fail: int = 0
     failures: int = 0
     hang: bool = False
     other_identity: bool = False
     unframed_part: bool = False
-    ends_on: bytes = b''
-    ended: bool = False
-    says: dict[str, str] = field(default_factory=dict)
+    crash_on: bytes = b''
+    crashed: bool = False
+    extra_headers: dict[str, str] = field(default_factory=dict)
     refusals: list[float] = field(default_factory=list)
     reports: int = 0
     address: str = ''
@@ -116,11 +116,11 @@
     @property
     def streams(self) -> int:
         """Count the requests that it is running."""
-        return 0 if self.ended else len(self._open)
+        return 0 if self.crashed else len(self._open)
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """End as a process does: nothing listens, connections are reset."""
-        self.ended = True
+        self.crashed = True
         assert self.stop_listening is not None
         await self.stop_listening()
         for transport in tuple(self._open):
@@ -139,14 +139,14 @@
         app.router.add_route('*', '/{path:.*}', self._serve)
         return app
 
-    def start_again(self, name: str = '') -> None:
+    def restart(self, name: str = '') -> None:
         """Crash and start again, with nothing held or counted.
 
         :param name: of the new life, where it has another than the old one.
         """
         self.name = name or self.name
         self.born += 1000
-        self.ended = False
+        self.crashed = False
         self.layers = None
         self.sequence = 0
         self.fence = 0
@@ -155,11 +155,11 @@
     def _write_layers(self) -> dict[str, int] | None:
         if self.layers is None:
             return None
-        first, end = self.layers
-        return {'from': first, 'to': end, 'version': 1}
+        first, crash = self.layers
+        return {'from': first, 'to': crash, 'version': 1}
 
     async def _report(self, request: web.Request) -> web.Response:
-        if self.ended:
+        if self.crashed:
             assert request.transport is not None
             request.transport.abort()
         self.reports += 1
@@ -196,7 +196,7 @@
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         transport = request.transport
         assert transport is not None
-        if self.ended:
+        if self.crashed:
             transport.abort()
             return web.Response()
         self._open.add(transport)
@@ -247,7 +247,7 @@
     async def _run(self, request: web.Request, run: Run) -> web.StreamResponse:
         if self.hang:
             await asyncio.Event().wait()
-        if self.ends_on and run.body == self.ends_on:
+        if self.crash_on and run.body == self.crash_on:
             return await self._end_under(request, run)
         headers = self._sign('other' if self.other_identity else run.identity)
         if self.failures:
@@ -270,7 +270,7 @@
         if 'X-Ryelatch-Hop-Count' in run.headers:
             await response.prepare(request)
         await asyncio.sleep(self.pause)
-        await self.end()
+        await self.crash()
         return response
 
     async def _tear_unframed(
@@ -317,11 +317,11 @@
     async def _wait_stalled(self, run: Run, number: int) -> None:
         if self.stall_after and self.stalls and number > self.stall_after:
             self.stalls -= 1
-            self._stalled[run.identity] = self.stalled_on
+            self._stalled[run.identity] = self.stalled_address
             await self._moved.wait()
 
     def _name(self, identity: str) -> dict[str, str]:
-        return {'X-Ryelatch-Request-Id': identity, **self.says}
+        return {'X-Ryelatch-Request-Id': identity, **self.extra_headers}
 
     def _sign(self, identity: str) -> dict[str, str]:
         signature = f'signed-{self.name}'
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -7,7 +7,7 @@
 from typing import Any
 from zlib import crc32
 
-from fleet.running import PLAIN_SERVICE, make_configuration, make_startup
+from fleet.running import NON_MODEL_SERVICE, make_configuration, make_startup
 from ryelatch_core.events import LineLog
 from ryelatch_core.kernel import Hub
 from ryelatch_core.membership import NodeEntry, compute_departure_bounds
@@ -72,7 +72,7 @@
         """Return whether the node may send a request to a replica now."""
         return any(
             replica.name == name
-            for replica in self.view.list_service(PLAIN_SERVICE)
+            for replica in self.view.list_service(NON_MODEL_SERVICE)
         )
 
     def count(self, event: str) -> int:
@@ -144,7 +144,7 @@
     def register(self, name: str, state: str = 'ready') -> None:
         """Write the entry of a replica into the registry."""
         spec = {
-            'service': PLAIN_SERVICE,
+            'service': NON_MODEL_SERVICE,
             'addr': f'10.0.0.{1 + crc32(name.encode()) % 200}:8000',
             'zone': 'zone-a',
             'version': '1',
