--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/__init__.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/__init__.py
@@ -8,7 +8,7 @@
 from ryelatch_node.peer_sync._frames import Change, PermitReply, PermitRequest
 from ryelatch_node.peer_sync._service import PeerSync, setup
 from ryelatch_node.peer_sync._watch_cache import (
-    PeerCutOff,
+    PeerPartitioned,
     StoreHealth,
     StoreUpdate,
 )
@@ -17,7 +17,7 @@
     'REQUEST_ERRORS',
     'Change',
     'PeerConnection',
-    'PeerCutOff',
+    'PeerPartitioned',
     'PeerSync',
     'PermitReply',
     'PermitRequest',
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_server.py
@@ -53,7 +53,7 @@
     """Serves watches, lists and permits to peers.
 
     :param caches: objects and recent changes of the store, by kind.
-    :param find_store_health: returns the store's availability to this node.
+    :param get_store_health: returns the store's availability to this node.
     :param handle_permit_request: grants or denies a permit to a peer.
     :param handle_message: handles the message of a peer that introduces
         itself.
@@ -64,7 +64,7 @@
     clock: Clock
     usage: UsageTracker
     caches: dict[str, WatchCache]
-    find_store_health: Callable[[], StoreHealth] = lambda: STORE_HEALTHY
+    get_store_health: Callable[[], StoreHealth] = lambda: STORE_HEALTHY
     handle_permit_request: Callable[[PermitRequest], PermitReply] = _deny_permit
     handle_message: Callable[[BootstrapMessage], BootstrapReply] = (
         _ignore_message
@@ -128,7 +128,7 @@
             return ListReply(known=False)
         now = self.clock.monotonic()
         reply = cache.make_list_reply(now)
-        unanswered = self.find_store_health().unanswered
+        unanswered = self.get_store_health().unanswered
         if unanswered > NEVER:
             reply = msgspec.structs.replace(reply, unanswered=now - unanswered)
         return reply
@@ -139,7 +139,7 @@
             self.last_watched = received
         reply = await self._make_watch_reply(request, received)
         now = self.clock.monotonic()
-        health = self.find_store_health()
+        health = self.get_store_health()
         if health.unanswered > NEVER:
             reply = msgspec.structs.replace(
                 reply, unanswered=now - health.unanswered, out=health.out
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -33,7 +33,7 @@
 )
 from ryelatch_node.peer_sync._server import PeerServer
 from ryelatch_node.peer_sync._watch_cache import (
-    PeerCutOff,
+    PeerPartitioned,
     StoreUpdate,
     WatchCache,
 )
@@ -114,7 +114,7 @@
             self.dial,
             lambda: self._nodes,
             lambda: self._is_synced,
-            lambda: self.server.find_store_health().out,
+            lambda: self.server.get_store_health().out,
             self.clock,
         )
         self._bootstrap_task = asyncio.create_task(
@@ -171,25 +171,25 @@
         wait_seconds: float,
         *,
         max_age: float,
-        cut_off: bool,
-    ) -> StoreUpdate | PeerCutOff | None:
+        partitioned: bool,
+    ) -> StoreUpdate | PeerPartitioned | None:
         """Request the changes of a kind from a peer.
 
         :param since: revision of the store that this node has.
         :param wait_seconds: time after which the peer replies without changes.
         :param max_age: maximum age of the peer's state, in seconds.
-        :param cut_off: whether this node is partitioned from the store; if
+        :param partitioned: whether this node is partitioned from the store; if
             so, a node that watches for others sends requests to peers, too.
         :returns: the changes; or that the peer's state is older than
             ``max_age``, if the peer has an unanswered call to the store;
             ``None`` if no peer is available, if the request fails, or if the
             reply is too old or lacks some of the changes.
         """
-        peer = self._choose_peer(cut_off=cut_off)
+        peer = self._choose_peer(partitioned=partitioned)
         if peer is None:
             return None
         sent = self.clock.monotonic()
-        request = WatchRequest(object_kind, since, wait_seconds, cut_off)
+        request = WatchRequest(object_kind, since, wait_seconds, partitioned)
         try:
             async with asyncio.timeout(
                 wait_seconds + CONNECT_SECONDS + REPLY_SECONDS
@@ -217,7 +217,7 @@
             )
         reason = 'blind' if reply.out else 'behind'
         self._abandon(object_kind, peer, reason, answered=True)
-        return None if unanswered is None else PeerCutOff(unanswered)
+        return None if unanswered is None else PeerPartitioned(unanswered)
 
     @property
     def nodes(self) -> tuple[NodeEntry, ...]:
@@ -255,17 +255,19 @@
             self.update_nodes(nodes)
             self.announce_count(len(nodes))
 
-    def _choose_peer(self, *, cut_off: bool) -> NodeEntry | None:
+    def _choose_peer(self, *, partitioned: bool) -> NodeEntry | None:
         """Choose the peer that watch requests are sent to.
 
         :returns: ``None`` if this node has to watch the store itself, or if
             all suitable peers are in cooldown.
         """
-        if not cut_off and (not self.has_watchers or self.watches_for_others):
+        if not partitioned and (
+            not self.has_watchers or self.watches_for_others
+        ):
             return None
         local_name, zone = self.startup.name, self.startup.zone
         offered = choose_watchers(local_name, zone, self._nodes)
-        store_out = self.has_watchers and self.server.find_store_health().out
+        store_out = self.has_watchers and self.server.get_store_health().out
         return next(
             (
                 peer
--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_watch_cache.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerCutOff:
+class PeerPartitioned:
     """Reply of a peer that is partitioned from the store, with outdated state.
 
     :param unanswered: monotonic seconds at which the peer sent the last call
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_migration_planner.py
@@ -48,7 +48,7 @@
     # When this node first saw each replica leaving, in monotonic seconds.
     _leaving_since: dict[str, float] = field(default_factory=dict)
 
-    def find_replicas_to_leave(
+    def choose_replicas_to_leave(
         self, stream: LiveStream, now: float
     ) -> frozenset[str]:
         """Choose the replicas that a stream should leave now.
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_watch.py
@@ -333,7 +333,7 @@
         """
         if self._departures.is_leaving(stream.first_replica):
             return
-        leaving = self._departures.find_replicas_to_leave(stream, now)
+        leaving = self._departures.choose_replicas_to_leave(stream, now)
         if leaving:
             self._tasks.spawn(self._move_off_leaving(stream, leaving))
 
--- a/tests/node/peer_sync/test_malformed_frames.py
+++ b/tests/node/peer_sync/test_malformed_frames.py
@@ -60,7 +60,7 @@
 
 async def _ask(peer_sync: PeerSync) -> Any:
     return await peer_sync.request_changes(
-        'servers', 5, 0.1, max_age=2, cut_off=False
+        'servers', 5, 0.1, max_age=2, partitioned=False
     )
 
 
--- a/tests/node/relay/test_migration_planner.py
+++ b/tests/node/relay/test_migration_planner.py
@@ -63,12 +63,12 @@
 def test_streams_are_let_be_at_first() -> None:
     """Most streams finish by themselves, and each move costs a command."""
     planner, stream, clock = _plan(delay=0.1)
-    assert not planner.find_replicas_to_leave(stream, clock.now)
-    assert not planner.find_replicas_to_leave(
+    assert not planner.choose_replicas_to_leave(stream, clock.now)
+    assert not planner.choose_replicas_to_leave(
         stream, clock.now + LEAVING_SECONDS
     )
     late = clock.now + LEAVING_SECONDS + 0.4
-    assert planner.find_replicas_to_leave(stream, late) == {'m-1'}
+    assert planner.choose_replicas_to_leave(stream, late) == {'m-1'}
 
 
 def test_late_word_leaves_less_time() -> None:
@@ -79,8 +79,8 @@
     some of their streams broke.
     """
     planner, stream, clock = _plan(delay=1.4)
-    assert not planner.find_replicas_to_leave(stream, clock.now)
-    assert planner.find_replicas_to_leave(stream, clock.now + 0.15) == {'m-1'}
+    assert not planner.choose_replicas_to_leave(stream, clock.now)
+    assert planner.choose_replicas_to_leave(stream, clock.now + 0.15) == {'m-1'}
 
 
 async def test_stream_may_cross_zones_again() -> None:
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -5,9 +5,13 @@
 from collections.abc import Callable, Iterator
 
 from fleet.running import make_event_stream
-from soak.throttling import LIMIT_NOTICE_SECONDS, LIMIT_PER_SECOND, WINDOW_SECONDS
 from soak.clients import Attempt, Clients
 from soak.crashing import CRASHING_KINDS, compute_digest
+from soak.throttling import (
+    LIMIT_NOTICE_SECONDS,
+    LIMIT_PER_SECOND,
+    WINDOW_SECONDS,
+)
 from soak.world import CRASHING_BODY, SPARE_KEY, STREAM_EVENTS, World
 from standins.replica import Run
 
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 
 from fleet.running import KEY
-from soak.throttling import ThrottledReplicas
 from soak.checks import list_violations
 from soak.clients import Clients
 from soak.crashing import CrashingClient
 from soak.faults import inject_faults
+from soak.throttling import ThrottledReplicas
 from soak.world import World, run_world
 
 RECOVERY_SECONDS = 5.0
