--- a/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/peer_sync/_service.py
@@ -319,7 +319,7 @@
 
 
 def setup(app: App) -> None:
-    """Add the service ``peer_sync``."""
+    """Add the service ``news``, which exchanges changes with peers."""
     peer_sync = PeerSync(
         app.find('log', LineLog),
         app.clock,
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_choice.py
@@ -29,7 +29,7 @@
 
     :returns: its stages; empty if there is no path.
     """
-    with context.costs.measure_time('paths'):
+    with context.usage.measure_time('paths'):
         return _choose(context, exchange, request, progress)
 
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_context.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_context.py
@@ -43,7 +43,7 @@
     budget: RetryBudget
     quarantine: Quarantine
     throttle: Throttle
-    costs: UsageTracker = field(default_factory=UsageTracker)
+    usage: UsageTracker = field(default_factory=UsageTracker)
     load: LoadTracker = field(default_factory=LoadTracker)
     crash_checks: CrashChecks = field(init=False)
     slow_replicas: SlowReplicaChecks = field(init=False)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_metrics.py
@@ -20,18 +20,18 @@
 
     :param gauges: functions that read a current value, by metric name without
         the prefix; a name ends with the unit if there is one.
-    :param costs: the resource usage of the process.
+    :param usage: the resource usage of the process.
     """
 
     def __init__(
         self,
         log: LineLog,
         gauges: Mapping[str, Callable[[], float]],
-        costs: UsageTracker | None = None,
+        usage: UsageTracker | None = None,
     ) -> None:
         self._log = log
         self._gauges = gauges
-        self._costs = costs or UsageTracker()
+        self._usage = usage or UsageTracker()
         self._outcomes: Counter[tuple[str, str]] = Counter()
         self._times: dict[str, HdrHistogram] = {}
 
@@ -71,9 +71,9 @@
             yield f'ryelatch_events_total{{event="{event}"}} {count}'
 
     def _expose_costs(self) -> Iterator[str]:
-        for name, count in self._costs.list_counts().items():
+        for name, count in self._usage.list_counts().items():
             yield f'ryelatch_costs_total{{of="{name}"}} {count}'
-        for activity, spent in self._costs.list_seconds().items():
+        for activity, spent in self._usage.list_seconds().items():
             label = f'{{activity="{activity}"}}'
             yield f'ryelatch_processor_seconds_total{label} {spent:g}'
 
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_service.py
@@ -95,9 +95,9 @@
         self._costs_recorded = self._context.clock.monotonic()
         self._context.log.record(
             catalogue.NODE_COSTS,
-            life=self._context.costs.incarnation,
-            counts=self._context.costs.list_counts(),
-            seconds=self._context.costs.list_seconds(),
+            life=self._context.usage.incarnation,
+            counts=self._context.usage.list_counts(),
+            seconds=self._context.usage.list_seconds(),
         )
 
 
@@ -125,7 +125,7 @@
             'retries_left': lambda: context.budget.left,
             'log_lines_dropped': lambda: context.log.dropped,
         },
-        context.costs,
+        context.usage,
     )
     server = RelayServer(
         context,
@@ -197,7 +197,7 @@
         ),
         quarantine=app.find('quarantine', Quarantine),
         throttle=throttle,
-        costs=app.find('costs', UsageTracker),
+        usage=app.find('costs', UsageTracker),
         load=load,
     )
 
