--- a/packages/ryelatch-core/src/ryelatch_core/fleet/_copy_groups.py
+++ b/packages/ryelatch-core/src/ryelatch_core/fleet/_copy_groups.py
@@ -1,10 +1,12 @@
 """Decides how many complete copies of a model a pool of replicas holds.
 
 A single copy over all replicas leaves the most memory for requests, but all
-requests then share the same steps: each request that is decoded slows down
-every token of the others. More copies divide that work and make paths shorter,
-but the weights of each copy take memory. The number of copies with the highest
-request rate lies in between.
+requests then share the same decoding steps: each request that is decoded slows
+down every token of the others. More copies divide the requests among them and
+make paths shorter, but the weights of each copy take memory. The number of
+copies with the highest request rate lies in between.
+
+A group consists of the replicas that together hold one copy.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -74,7 +76,15 @@
     profile: ModelProfile,
     headroom: int,
 ) -> float:
-    """Estimate the requests per second of a group whose memory is full."""
+    """Estimate the requests per second of the replicas of one copy.
+
+    Their memory is assumed to be full: ``headroom`` typical requests run at
+    once. Each takes the prefill of its prompt and one decoding step for each
+    token of its answer, over the layers of all replicas.
+
+    :param group: the replicas that hold the copy.
+    :param headroom: here the number of requests that run at once.
+    """
     step = 0.0
     prefill = 0.0
     left = profile.layers
--- a/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
+++ b/packages/ryelatch-core/src/ryelatch_core/membership/_departure.py
@@ -1,22 +1,25 @@
 """How long a node may still send requests to a replica that is leaving.
 
-The platform bounds the time from its acceptance that a replica leaves to the
-last request that reaches the replica. That time is a sum:
+After the platform has accepted that a replica leaves, requests may reach the
+replica for at most ``bound`` seconds. Two times add up to this:
 
 ===================  =====================================================
 age of the list      a lost watch is noticed only when its response is
                      overdue; until then the list ages unnoticed
-retention of an      an entry that disappears in an outage of the store
-entry                may reappear, so it is kept in use for a while
 delivery of a        from the choice of the replica to the arrival there,
 request              a new connection included
 ===================  =====================================================
 
-The first and the last together stay within the bound at every node that gets
-responses from the store. After an outage the platform does not hold a node to
-the bound for some seconds, and a missing entry is kept no longer than that.
-They are counted from the latest time at which the outage is certain: when the
-last call was sent that got no response.
+At every node that gets responses from the store, their sum stays within
+``bound``, unless ``bound`` is smaller than the minimum age
+(``MIN_AGE_BOUND_SECONDS``) plus the delivery.
+
+Separately, an entry that disappears in an outage of the store may reappear.
+So it stays in use for a limited time, the retention. After an outage the
+platform does not hold a node to ``bound`` for ``steady`` seconds, and
+retention plus delivery stay within that, unless ``steady`` is shorter than the
+delivery. The retention is counted from the latest time at which the outage is
+certain: when the last call was sent that got no response.
 """
 
 from dataclasses import dataclass
@@ -68,9 +71,16 @@
 def compute_departure_bounds(bound: float, steady: float) -> DepartureBounds:
     """Compute the time limits from the platform's bounds.
 
-    :param bound: seconds for which a replica that leaves may get requests.
-    :param steady: seconds after an outage for which a node is not held to
-        that bound.
+    The largest age of the list is ``bound`` without the delivery, but at least
+    ``MIN_AGE_BOUND_SECONDS``. The retention, for which an entry that
+    disappears in an outage of the store stays in use, is
+    ``STORE_OVERDUE_SECONDS`` plus ``RETURN_SECONDS``, but at most ``steady``
+    without the delivery; it is 0 if ``steady`` is shorter than the delivery.
+
+    :param bound: seconds for which requests may reach a replica after the
+        platform has accepted that it leaves.
+    :param steady: seconds after an outage of the store for which the platform
+        does not hold a node to ``bound``.
     """
     delivery = CONNECT_TIMEOUT_SECONDS + MARGIN_SECONDS
     return DepartureBounds(
--- a/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
+++ b/packages/ryelatch-core/src/ryelatch_core/pipeline/_flow.py
@@ -49,13 +49,24 @@
 ) -> float:
     """Compute the positions per second that no routing can exceed.
 
-    Each engine is an edge from the layer boundary before its range to the one
-    after it, with the engine's rate as capacity. Each boundary has an edge
-    between two zones with the capacity of their link, so the graph grows with
+    A boundary is the number of the layer that follows it. Each engine is an
+    edge from the boundary before its range to the one after it, with the
+    engine's rate as capacity; engines of one range and zone share an edge. At
+    each boundary between layers where a range begins, each ordered pair of
+    zones has an edge with the capacity of their link. So the graph grows with
     engines, boundaries and zones, not with pairs of engines.
 
-    :param links: positions per second between two zones; pairs not listed are
-        unlimited.
+    The bound assumes that each engine always runs its whole range, that
+    positions can be split among engines in any proportion and may enter and
+    leave in any zone, and that a link has its full capacity at each boundary.
+
+    :param placement: engines with their ranges of layers, where ``last`` is
+        exclusive; empty ranges are ignored.
+    :param layers: number of layers of the model.
+    :param links: positions per second from one zone to another; pairs not
+        listed, and the links within a zone, are unlimited.
+    :returns: 0 if no range begins with the first layer, or if no sequence of
+        ranges covers all layers.
     """
     import networkx as nx  # imported late: only a planner needs it
 
--- a/packages/ryelatch-core/src/ryelatch_core/quarantine/_digest.py
+++ b/packages/ryelatch-core/src/ryelatch_core/quarantine/_digest.py
@@ -16,9 +16,11 @@
 ) -> str:
     """Compute the digest of a request's content and client account.
 
-    Each attempt of a client has an identity of its own, so a repeated request
-    can be recognized by its content only.
+    Clients use a new request id for each retry, so a repeated request can be
+    recognized by its content only.
 
+    :param host: host that the request is addressed to.
+    :param method: HTTP method.
     :param target: path and query.
     :param account: name of the client account; empty if anonymous.
     :returns: hexadecimal digits, equal for equal requests.
--- a/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
+++ b/packages/ryelatch-core/src/ryelatch_core/shares/_allocation.py
@@ -25,7 +25,10 @@
     slots: float,
     demands: Mapping[str, Demand],
 ) -> dict[str, float]:
-    """Share slots by weight, none beyond its demand (max-min fairness).
+    """Share slots among accounts by weight (max-min fairness).
+
+    No account gets more than its demand; what it does not need is shared among
+    the others.
 
     :param slots: requests that the whole fleet runs at once.
     :param demands: demand of each account.
--- a/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
+++ b/packages/ryelatch-core/src/ryelatch_core/throttle/_limits.py
@@ -28,10 +28,18 @@
     _reported: dict[str, ReportedLimit] = field(default_factory=dict)
 
     def record_limit(self, name: str, reported: ReportedLimit) -> bool:
-        """Record an announced limit, unless a newer one is known.
-
-        :returns: whether the replica has a limit now and had none, or the
-            reverse.
+        """Record a limit that a replica has announced.
+
+        An announcement is ignored if it is older than the known one, if its
+        limit is unusable (negative, infinite or NaN), or if it is the first
+        one known of the replica and states that there is no limit.
+
+        :param name: name of the replica's incarnation.
+        :param reported: the limit in requests per second, ``None`` for no
+            limit, and the monotonic seconds of this node at which it was
+            announced.
+        :returns: whether the replica became limited or unlimited; false if the
+            announcement is ignored.
         """
         known = self._reported.get(name)
         if known is not None and known.at > reported.at:
--- a/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/placement/_service.py
@@ -165,7 +165,16 @@
             await self._send_all(moves)
 
     def _observe(self, now: float) -> _PlanInput | None:
-        """Collect the input of a plan; nothing while the list still grows."""
+        """Collect the input of a plan, and update the timing.
+
+        The timing records the listed replicas at each call, and whether layers
+        are missing at each call that returns an input.
+
+        :param now: monotonic seconds.
+        :returns: ``None`` without a configuration, or while no listed replica
+            holds layers and the list is empty or has grown within the last
+            ``SETTLE_SECONDS``.
+        """
         table = self.configuration.table
         listed = self.replicas.replicas.values()
         self._timing.record_replicas(listed, now)
--- a/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
+++ b/packages/ryelatch-node/src/ryelatch_node/relay/_upstream.py
@@ -189,6 +189,15 @@
     keepalive_timeout: float | None = None,
     force_close: bool = False,
 ) -> aiohttp.ClientSession:
+    """Open a client session without a limit on the number of connections.
+
+    It keeps no cookies, leaves bodies encoded, and limits the time to connect
+    but not the time of a request.
+
+    :param keepalive_timeout: seconds for which an idle connection is kept;
+        ``None`` only with ``force_close``, where it has no effect.
+    :param force_close: whether each connection is used for one request only.
+    """
     if force_close:
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
     else:
@@ -207,7 +216,8 @@
             total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
         ),
     )
-    # Only the relay decides on, counts and logs repeated requests.
+    # aiohttp's own retry is off: the relay decides on retries, counts and logs
+    # them.
     session._retry_connection = False
     return session
 
--- a/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
+++ b/packages/ryelatch-node/src/ryelatch_node/throttle/_service.py
@@ -77,7 +77,14 @@
         self.permit_client.stop()
 
     def record_answer(self, replica: Replica, terms: AnswerMetadata) -> None:
-        """Record the limit and backoff in a replica's answer."""
+        """Record the limit and backoff in a replica's answer.
+
+        A limit that is given is recorded. If none is given, only a signed
+        answer, one with the signature of a replica, means that there is none;
+        any other answer leaves the known limit as it is. So does an unreadable
+        limit, for which NaN stands; it is logged. The backoff is recorded in
+        all these cases.
+        """
         name = replica.name
         self._record_backoff(name, terms.backoff)
         if terms.limit is not None and math.isnan(terms.limit):
--- a/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
+++ b/packages/ryelatch-node/src/ryelatch_node/views/_replicas.py
@@ -255,11 +255,20 @@
         self._unreachable.clear(replica.name)
 
     def _put(self, replica: Replica, *, listed: bool = False) -> None:
-        """Apply the state of a replica, unless it is outdated.
+        """Apply the state of a replica.
 
-        :param listed: whether the state comes from the registry entry. Only
-            an entry shows that the replica isn't missing: a replica that
-            leaves responds to requests for reports until it terminates.
+        The state is not applied if it is
+
+        - outdated: the incarnation has crashed, or a later one has appeared;
+        - unchanged: equal to the state that is known;
+        - deferred: contradicted by a report of the replica that takes
+          precedence; it is applied when that ends, unless a later state or
+          report has replaced it.
+
+        :param listed: whether the state comes from a registry entry. Only such
+            a state, unless it is outdated, ends the state "missing". A report
+            does not: a replica that is leaving still answers report requests
+            until it terminates.
         """
         replica = self._reported_leaving.mark(replica)
         related = self._index.list_related(replica)
