--- a/tests/platform/test_begin.py
+++ b/tests/platform/test_begin.py
@@ -4,8 +4,8 @@
 import sys
 
 _COUNT = """
-from ryelatch_platform._begin import skip_certificates
-skip_certificates()
+from ryelatch_platform._begin import skip_system_certificates
+skip_system_certificates()
 import ssl
 print(ssl.create_default_context().cert_store_stats()['x509'])
 """
